--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -38,10 +38,10 @@
 
 net::Pool::Limits limits(const config::Config& config) {
   net::Pool::Limits out;
-  out.most = engine_share(config.sockets);
-  out.dial_timeout = config.dial_timeout;
+  out.most = engine_share(config.max_descriptors);
+  out.dial_timeout = config.connect_timeout;
   // Well before the engine closes it: a call must not cross the close.
-  out.idle_life = config.idle_close / 2;
+  out.idle_life = config.idle_timeout / 2;
   return out;
 }
 
@@ -97,14 +97,14 @@
       reducer_(config_.settings, config_.seed, (config_.memory_mb << 20) / 4,
                core::wall_now() - core::monotonic_now()),
       engines_(make_engines()),
-      changelog_(loop, config_.changelog, config_.names, config_.known.seq, poster()),
+      changelog_(loop, config_.changelog, config_.names, config_.initial_membership.seq, poster()),
       peers_(loop, config_, poster()),
       tick_(loop),
       call_(loop),
       prepare_(loop),
       check_(loop),
       reload_(loop) {
-  const auto share = client_share(config_.sockets);
+  const auto share = client_share(config_.max_descriptors);
   front_ = std::make_unique<platform::Front>(
       loop, listen(config_.listen, "listen"), config_.names, fronts_.mysql ? share / 2 : share, handles_,
       [this] { return reducer_.lifecycle().green(); }, poster());
@@ -126,7 +126,7 @@
                                             *fronts_.mysql, config_.names, config_.settings,
                                             std::move(options), handles_, config_.seed, poster());
   }
-  for (auto& change : config_.known.changes) post(std::move(change));
+  for (auto& change : config_.initial_membership.changes) post(std::move(change));
   post(core::Listening{});
 
   tick_.set<Broker, &Broker::on_tick>(this);
@@ -147,8 +147,8 @@
 }
 
 void Broker::on_tick(ev::timer&, int) {
-  if (SignalFlags::take_reload()) post(core::ReloadAsked{});
-  if (SignalFlags::take_stop()) post(core::StopAsked{});
+  if (SignalFlags::take_reload()) post(core::ReloadRequested{});
+  if (SignalFlags::take_stop()) post(core::ShutdownRequested{});
   if (turns_behind_ > 0) return;  // what has come is read before anything is taken for overdue
   watch_wall_clock();
   const auto now = core::monotonic_now();
@@ -177,12 +177,12 @@
   if (polled_ - before <= kPause) return;
   run(core::Log{"the program stood still for " + std::to_string(seconds(polled_ - before)) + " s"});
   if (turns_behind_ == 0) standstill_began_ = before;
-  turns_behind_ = 1 + config_.sockets / kReadyPerPoll;
+  turns_behind_ = 1 + config_.max_descriptors / kReadyPerPoll;
 }
 
 void Broker::post(core::Event event) {
-  auto* const arrived = std::get_if<core::Arrived>(&event);
-  if (arrived != nullptr && turns_behind_ > 0) arrived->came = standstill_began_;
+  auto* const arrived = std::get_if<core::RequestArrived>(&event);
+  if (arrived != nullptr && turns_behind_ > 0) arrived->received_at = standstill_began_;
   events_.push_back(std::move(event));
 }
 
@@ -204,8 +204,8 @@
   while (!events_.empty()) {
     auto event = std::move(events_.front());
     events_.pop_front();
-    if (auto* arrived = std::get_if<core::Arrived>(&event); arrived != nullptr && plugin_)
-      admit(arrived->asked);
+    if (auto* arrived = std::get_if<core::RequestArrived>(&event); arrived != nullptr && plugin_)
+      admit(arrived->request);
     effects_.clear();
     reducer_.reduce(core::monotonic_now(), std::move(event), effects_);
     for (auto& effect : effects_) std::visit([this](auto& e) { run(e); }, effect);
@@ -213,7 +213,7 @@
 }
 
 // A script that fails for one request fails for many: one line a second says enough.
-void Broker::admit(core::Submission& asked) {
+void Broker::admit(core::ClientRequest& asked) {
   const auto said = plugin_->admit(asked);
   const auto now = core::monotonic_now();
   if (said.empty() || now < plugin_logged_ + 1s) return;
@@ -243,13 +243,13 @@
   try {
     const auto again = config::parse(config::read_file(file_, "configuration"));
     read.changelog = again.changelog;
-    for (const auto& [field, text] : again.fixed) {
-      if (text != config_.fixed.at(field)) read.fixed.push_back(field);
+    for (const auto& [field, text] : again.restart_only_fields) {
+      if (text != config_.restart_only_fields.at(field)) read.restart_required.push_back(field);
     }
   } catch (const std::exception& error) {
-    read.problem = error.what();
+    read.error = error.what();
   }
-  const bool failed = !read.problem.empty();
+  const bool failed = !read.error.empty();
   if (failed && core::monotonic_now() < reload_until_) {
     reload_.start(seconds(kReloadPause), 0);
   } else {
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -40,7 +40,7 @@
   void on_reload(ev::timer& timer, int events);
   void read_configuration(bool tell_problem);
   void pump();
-  void admit(core::Submission& asked);
+  void admit(core::ClientRequest& asked);
   [[nodiscard]] net::Post poster();
   [[nodiscard]] std::unique_ptr<net::EngineDriver> make_engines();
   [[nodiscard]] bool unwritten() const;
@@ -48,14 +48,14 @@
   void run(const core::Answer& effect);
   void run(const core::StartAttempt& effect) { engines_->run(effect); }
   void run(core::Transmit& effect) { engines_->run(effect); }
-  void run(const core::Abandon& effect) { engines_->run(effect); }
-  void run(const core::Reprioritize& effect) { engines_->run(effect); }
+  void run(const core::CancelAttempt& effect) { engines_->run(effect); }
+  void run(const core::SetPriority& effect) { engines_->run(effect); }
   void run(const core::ProbeEngine& effect) { engines_->run(effect); }
-  void run(const core::EngineMoved& effect) { engines_->run(effect); }
-  void run(const core::TellPeers& effect) { peers_.run(effect); }
+  void run(const core::EngineUpdated& effect) { engines_->run(effect); }
+  void run(const core::SendToPeers& effect) { peers_.run(effect); }
   void run(const core::Log& effect);
   void run(const core::ReadConfiguration&);
-  void run(const core::FollowChangeLog& effect) { changelog_.follow(effect.address); }
+  void run(const core::WatchChangeLog& effect) { changelog_.follow(effect.address); }
   void run(const core::Exit&);
 
   ev::loop_ref loop_;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -32,26 +32,26 @@
   return hash;
 }
 
-core::Member parse_member(const json& in, const Names& names) {
-  object(in, "servers[]");
+core::Member parse_member(const json& in, const NameIndex& names) {
+  require_object(in, "servers[]");
   core::Member out;
-  out.entry.engine = engine_id(text(need(in, "id"), "servers[].id"));
-  const auto state = text(need(in, "state"), "servers[].state");
+  out.entry.engine = engine_id(string_value(require_field(in, "id"), "servers[].id"));
+  const auto state = string_value(require_field(in, "state"), "servers[].state");
   out.entry.state = state == "in_service"    ? heronwell::EngineState::ready
                     : state == "terminating" ? heronwell::EngineState::draining
-                    : state == "terminated"
-                        ? heronwell::EngineState::gone
-                        : (bad("servers[].state", "holds an unknown word"), heronwell::EngineState::gone);
-  out.address = text_or_none(in, "addr");
+                    : state == "terminated"  ? heronwell::EngineState::gone
+                                             : (throw_field_error("servers[].state", "holds an unknown word"),
+                                               heronwell::EngineState::gone);
+  out.address = optional_string(in, "addr");
   if (out.address.empty() && out.entry.state != heronwell::EngineState::gone)
-    bad("servers[].addr", "is missing");
+    throw_field_error("servers[].addr", "is missing");
   const auto index = [](const auto& map, const std::string& key) {
     const auto found = map.find(key);
     return found == map.end() ? static_cast<std::uint16_t>(0) : static_cast<std::uint16_t>(found->second);
   };
-  out.entry.zone = index(names.zones, text_or_none(in, "zone"));
-  const auto kind = text_or_none(in, "kind");
-  if (!kind.empty() && !names.kinds.contains(kind)) bad("servers[].kind", "is in no settings");
+  out.entry.zone = index(names.zones, optional_string(in, "zone"));
+  const auto kind = optional_string(in, "kind");
+  if (!kind.empty() && !names.kinds.contains(kind)) throw_field_error("servers[].kind", "is in no settings");
   out.entry.kind = index(names.kinds, kind);
   if (const auto cell = in.find("cell"); cell != in.end() && cell->is_number_unsigned())
     out.entry.cell = cell->get<std::uint16_t>();
@@ -62,32 +62,34 @@
   return out;
 }
 
-Changes parse_changes(const json& in, const Names& names) {
-  object(in, "changes");
-  Changes out;
-  out.seq = whole(need(in, "seq"), "seq");
-  for (const json& result : list(need(in, "results"), "results")) {
-    object(result, "results[]");
+ChangeLogEvents parse_changes(const json& in, const NameIndex& names) {
+  require_object(in, "changes");
+  ChangeLogEvents out;
+  out.seq = unsigned_value(require_field(in, "seq"), "seq");
+  for (const json& result : require_array(require_field(in, "results"), "results")) {
+    require_object(result, "results[]");
     const auto fleet = result.find("fleet");
     if (fleet == result.end()) continue;  // other kinds of events are of no concern here
-    core::FleetChange change;
-    if (const auto full = object(*fleet, "fleet").find("full"); full != fleet->end() && full->is_boolean())
+    core::MembershipChange change;
+    if (const auto full = require_object(*fleet, "fleet").find("full");
+        full != fleet->end() && full->is_boolean())
       change.full = full->get<bool>();
-    for (const json& server : list(need(*fleet, "servers"), "servers"))
+    for (const json& server : require_array(require_field(*fleet, "servers"), "servers"))
       change.members.push_back(parse_member(server, names));
     out.changes.push_back(std::move(change));
   }
   return out;
 }
 
-Names parse_names(const json& settings) {
-  Names out;
+NameIndex parse_names(const json& settings) {
+  NameIndex out;
   const auto fill = [&](const char* key, auto& map, bool named) {
     const auto found = settings.find(key);
     if (found == settings.end() || found->is_null()) return;
-    for (const json& item : list(*found, key)) {
+    for (const json& item : require_array(*found, key)) {
       const auto index = static_cast<std::uint16_t>(map.size());
-      map[named ? text(need(object(item, key), "name"), key) : text(item, key)] = index;
+      map[named ? string_value(require_field(require_object(item, key), "name"), key)
+                : string_value(item, key)] = index;
     }
   };
   fill("classes", out.classes, true);
@@ -98,8 +100,8 @@
   for (const auto& [name, index] : out.classes) out.class_names[index] = name;
   if (const auto report = settings.find("report"); report != settings.end() && report->is_object()) {
     if (const auto fields = report->find("fields"); fields != report->end()) {
-      for (const json& field : list(*fields, "report.fields"))
-        out.load_fields.push_back(text(field, "report.fields"));
+      for (const json& field : require_array(*fields, "report.fields"))
+        out.load_fields.push_back(string_value(field, "report.fields"));
     }
   }
   return out;
@@ -111,20 +113,21 @@
   std::ifstream in(path, std::ios::binary);
   std::ostringstream out;
   if (path.empty() || !in || !(out << in.rdbuf()))
-    throw Invalid(std::string(what) + ": cannot read '" + path + "'");
+    throw ConfigError(std::string(what) + ": cannot read '" + path + "'");
   return out.str();
 }
 
 Config parse(std::string_view in) {
   const json all = parse_json(in, "configuration");
   Config out;
-  out.name = text_or_none(all, "name");
-  out.listen = text(need(all, "listen"), "listen");
-  out.changelog = text(need(all, "changelog"), "changelog");
-  out.peer_listen = text_or_none(all, "peer_listen");
-  out.peers_all = text_or_none(all, "peers_all");
+  out.name = optional_string(all, "name");
+  out.listen = string_value(require_field(all, "listen"), "listen");
+  out.changelog = string_value(require_field(all, "changelog"), "changelog");
+  out.peer_listen = optional_string(all, "peer_listen");
+  out.peers_all = optional_string(all, "peers_all");
   if (const auto peers = all.find("peers"); peers != all.end() && !peers->is_null()) {
-    for (const json& peer : list(*peers, "peers")) out.peers.push_back(text(peer, "peers[]"));
+    for (const json& peer : require_array(*peers, "peers"))
+      out.peers.push_back(string_value(peer, "peers[]"));
   }
   for (const auto& [field, value] : {std::pair("listen", out.listen),
                                      {"changelog", out.changelog},
@@ -132,37 +135,39 @@
                                      {"peers_all", out.peers_all}})
     check_address(value, field);
   for (const auto& peer : out.peers) check_address(peer, "peers[]");
-  const auto seed = parse_hex<std::uint64_t>(text(need(all, "seed"), "seed"));
-  if (!seed) bad("seed", "is not a number in hex digits");
+  const auto seed = parse_hex<std::uint64_t>(string_value(require_field(all, "seed"), "seed"));
+  if (!seed) throw_field_error("seed", "is not a number in hex digits");
   out.seed = *seed;
   if (const auto limits = all.find("limits"); limits != all.end()) {
-    if (const auto sockets = object(*limits, "limits").find("sockets"); sockets != limits->end())
-      out.sockets = whole(*sockets, "limits.sockets");
+    if (const auto sockets = require_object(*limits, "limits").find("sockets"); sockets != limits->end())
+      out.max_descriptors = unsigned_value(*sockets, "limits.sockets");
     if (const auto memory = limits->find("memory_mb"); memory != limits->end())
-      out.memory_mb = whole(*memory, "limits.memory_mb");
+      out.memory_mb = unsigned_value(*memory, "limits.memory_mb");
   }
-  const json& settings = object(need(all, "settings"), "settings");
+  const json& settings = require_object(require_field(all, "settings"), "settings");
   try {
     out.settings = heronwell::wire::settings_from(settings);
   } catch (const std::exception& error) {
-    throw Invalid(error.what());
+    throw ConfigError(error.what());
   }
   out.names = parse_names(settings);
-  const json& ceilings = object(need(settings, "ceilings"), "settings.ceilings");
+  const json& ceilings = require_object(require_field(settings, "ceilings"), "settings.ceilings");
   const auto time_or = [&](const char* key, core::Time otherwise) {
     const auto found = ceilings.find(key);
-    return found == ceilings.end() ? otherwise : core::Time(static_cast<std::int64_t>(whole(*found, key)));
+    return found == ceilings.end() ? otherwise
+                                   : core::Time(static_cast<std::int64_t>(unsigned_value(*found, key)));
   };
-  out.dial_timeout = time_or("dial-timeout", 250ms);
-  out.idle_close = time_or("idle-close", 30s);
+  out.connect_timeout = time_or("dial-timeout", 250ms);
+  out.idle_timeout = time_or("idle-close", 30s);
   for (const char* field : {"name", "listen", "peer_listen", "peers", "peers_all", "limits", "settings"})
-    out.fixed[field] = all.value(field, json()).dump(-1, ' ', false, json::error_handler_t::replace);
+    out.restart_only_fields[field] =
+        all.value(field, json()).dump(-1, ' ', false, json::error_handler_t::replace);
   if (const auto known = all.find("known"); known != all.end() && !known->is_null())
-    out.known = parse_changes(*known, out.names);
+    out.initial_membership = parse_changes(*known, out.names);
   return out;
 }
 
-Changes parse_changes(std::string_view in, const Names& names) {
+ChangeLogEvents parse_changes(std::string_view in, const NameIndex& names) {
   return parse_changes(parse_json(in, "change log"), names);
 }
 
--- a/src/config/fronts.cpp
+++ b/src/config/fronts.cpp
@@ -9,47 +9,50 @@
 using nlohmann::json;
 
 std::string secret(const json& in, const char* key) {
-  const auto variable = text(need(in, key), key);
+  const auto variable = string_value(require_field(in, key), key);
   const char* value = std::getenv(variable.c_str());
-  if (value == nullptr) bad(key, "names an environment variable that is not set");
+  if (value == nullptr) throw_field_error(key, "names an environment variable that is not set");
   return value;
 }
 
 core::Time ms_or(const json& in, const char* key, std::uint64_t otherwise) {
   const auto found = in.find(key);
-  const auto value = found == in.end() ? otherwise : whole(*found, key);
-  if (value == 0 || value > 86'400'000) bad(key, "is out of range");
+  const auto value = found == in.end() ? otherwise : unsigned_value(*found, key);
+  if (value == 0 || value > 86'400'000) throw_field_error(key, "is out of range");
   return std::chrono::milliseconds(value);
 }
 
-MysqlFront parse_mysql(const json& in, const Names& names, bool directory) {
+MysqlFront parse_mysql(const json& in, const NameIndex& names, bool directory) {
   MysqlFront out;
-  out.listen = text(need(in, "listen"), "mysql.listen");
+  out.listen = string_value(require_field(in, "listen"), "mysql.listen");
   check_address(out.listen, "mysql.listen");
   // A directory takes passwords as they are, and there is no TLS here to hide them.
   if (directory && !out.listen.starts_with("127."))
-    bad("mysql.listen", "must be a loopback address beside a directory");
+    throw_field_error("mysql.listen", "must be a loopback address beside a directory");
   if (const auto users = in.find("users"); users != in.end()) {
-    for (const json& user : list(*users, "mysql.users")) {
-      object(user, "mysql.users[]");
-      out.users.push_back({text(need(user, "name"), "mysql.users[].name"), secret(user, "password_env"),
-                           text(need(user, "tenant"), "mysql.users[].tenant")});
-      if (!names.tenants.contains(out.users.back().tenant)) bad("mysql.users[].tenant", "is in no settings");
+    for (const json& user : require_array(*users, "mysql.users")) {
+      require_object(user, "mysql.users[]");
+      out.users.push_back({string_value(require_field(user, "name"), "mysql.users[].name"),
+                           secret(user, "password_env"),
+                           string_value(require_field(user, "tenant"), "mysql.users[].tenant")});
+      if (!names.tenants.contains(out.users.back().tenant))
+        throw_field_error("mysql.users[].tenant", "is in no settings");
     }
   }
-  if (out.users.empty() && !directory) bad("mysql.users", "names nobody, and there is no directory");
+  if (out.users.empty() && !directory)
+    throw_field_error("mysql.users", "names nobody, and there is no directory");
   return out;
 }
 
 Directory parse_directory(const json& in) {
   Directory out;
-  out.address = text(need(in, "address"), "directory.address");
+  out.address = string_value(require_field(in, "address"), "directory.address");
   check_address(out.address, "directory.address");
-  out.base = text(need(in, "base"), "directory.base");
-  out.bind_dn = text_or_none(in, "bind_dn");
+  out.base = string_value(require_field(in, "base"), "directory.base");
+  out.bind_dn = optional_string(in, "bind_dn");
   if (!out.bind_dn.empty()) out.bind_password = secret(in, "bind_password_env");
   const auto or_else = [&](const char* key, const char* otherwise) {
-    auto given = text_or_none(in, key);
+    auto given = optional_string(in, key);
     return given.empty() ? std::string(otherwise) : given;
   };
   out.user_attribute = or_else("user_attribute", "uid");
@@ -60,23 +63,24 @@
 }
 }  // namespace
 
-Fronts parse_fronts(std::string_view in, const Names& names) {
+Fronts parse_fronts(std::string_view in, const NameIndex& names) {
   const json all = parse_json(in, "fronts");
   Fronts out;
   if (const auto directory = all.find("directory"); directory != all.end())
-    out.directory = parse_directory(object(*directory, "directory"));
+    out.directory = parse_directory(require_object(*directory, "directory"));
   if (const auto mysql = all.find("mysql"); mysql != all.end())
-    out.mysql = parse_mysql(object(*mysql, "mysql"), names, out.directory.has_value());
+    out.mysql = parse_mysql(require_object(*mysql, "mysql"), names, out.directory.has_value());
   if (const auto engines = all.find("mysql_engines"); engines != all.end()) {
-    object(*engines, "mysql_engines");
-    out.mysql_engines =
-        MysqlEngines{text(need(*engines, "user"), "mysql_engines.user"), secret(*engines, "password_env")};
+    require_object(*engines, "mysql_engines");
+    out.mysql_engines = MysqlEngines{string_value(require_field(*engines, "user"), "mysql_engines.user"),
+                                     secret(*engines, "password_env")};
   }
   if (const auto plugin = all.find("plugin"); plugin != all.end()) {
-    object(*plugin, "plugin");
+    require_object(*plugin, "plugin");
     const auto kilobytes = plugin->find("memory_kb");
-    out.plugin = Plugin{text(need(*plugin, "script"), "plugin.script"), ms_or(*plugin, "time_ms", 2),
-                        1024 * (kilobytes == plugin->end() ? 1024 : whole(*kilobytes, "plugin.memory_kb"))};
+    out.plugin =
+        Plugin{string_value(require_field(*plugin, "script"), "plugin.script"), ms_or(*plugin, "time_ms", 2),
+               1024 * (kilobytes == plugin->end() ? 1024 : unsigned_value(*kilobytes, "plugin.memory_kb"))};
   }
   return out;
 }
--- a/src/config/fronts.hpp
+++ b/src/config/fronts.hpp
@@ -37,6 +37,6 @@
 };
 
 // Secrets are named by the environment variable that holds them. Throws Invalid.
-[[nodiscard]] Fronts parse_fronts(std::string_view json, const Names& names);
+[[nodiscard]] Fronts parse_fronts(std::string_view json, const NameIndex& names);
 
 }  // namespace bellstair::config
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -6,8 +6,8 @@
 namespace bellstair::core {
 namespace {
 using namespace std::chrono_literals;
+using heronwell::AttemptStatus;
 using heronwell::EngineState;
-using heronwell::Result;
 
 // Should the module have left a request without its answer, it fails so long before the client gives up.
 constexpr Time kLastCall = 15ms;
@@ -17,38 +17,38 @@
 // An answer this close to the deadline is told as timed out, to the fronts that make a difference.
 constexpr Time kTimedOut = 60ms;
 
-std::size_t weight(const Submission& asked) {
+std::size_t weight(const ClientRequest& asked) {
   constexpr std::size_t kEach = 1024;  // for what stands beside the texts
-  return kEach + asked.body.size() + asked.parameters.size() + asked.nonce.size();
+  return kEach + asked.body.size() + asked.parameters.size() + asked.idempotency_key.size();
 }
 
-Result result_of(AttemptEnd end, bool timed_out) {
+AttemptStatus result_of(AttemptOutcome end, bool timed_out) {
   switch (end) {
-    case AttemptEnd::served:
-      return Result::served;
-    case AttemptEnd::error:
-      return Result::error;
-    case AttemptEnd::turned_away:
-      return Result::turned_away;
-    case AttemptEnd::expired:
-      return Result::moot;
-    case AttemptEnd::not_connected:
-      return Result::not_connected;
-    case AttemptEnd::reset:
-      return Result::reset;
-    case AttemptEnd::lost:
-      return Result::lost;
-    case AttemptEnd::withdrawn:
+    case AttemptOutcome::served:
+      return AttemptStatus::served;
+    case AttemptOutcome::error:
+      return AttemptStatus::error;
+    case AttemptOutcome::rejected:
+      return AttemptStatus::rejected;
+    case AttemptOutcome::expired:
+      return AttemptStatus::expired;
+    case AttemptOutcome::connect_failed:
+      return AttemptStatus::connect_failed;
+    case AttemptOutcome::connection_reset:
+      return AttemptStatus::connection_reset;
+    case AttemptOutcome::query_dropped:
+      return AttemptStatus::query_dropped;
+    case AttemptOutcome::cancelled:
       break;
   }
-  return timed_out ? Result::timed_out : Result::called_off;
+  return timed_out ? AttemptStatus::timed_out : AttemptStatus::cancelled;
 }
 
 const char* name(AnswerKind kind) {
   switch (kind) {
     case AnswerKind::served:
       return "served";
-    case AnswerKind::refused:
+    case AnswerKind::rejected:
       return "refused";
     case AnswerKind::failed:
       return "failed";
@@ -58,23 +58,23 @@
   return "?";
 }
 
-const char* name(AttemptEnd end) {
+const char* name(AttemptOutcome end) {
   switch (end) {
-    case AttemptEnd::served:
+    case AttemptOutcome::served:
       return "served";
-    case AttemptEnd::error:
+    case AttemptOutcome::error:
       return "error";
-    case AttemptEnd::turned_away:
+    case AttemptOutcome::rejected:
       return "turned away";
-    case AttemptEnd::expired:
+    case AttemptOutcome::expired:
       return "expired";
-    case AttemptEnd::not_connected:
+    case AttemptOutcome::connect_failed:
       return "not connected";
-    case AttemptEnd::reset:
+    case AttemptOutcome::connection_reset:
       return "reset";
-    case AttemptEnd::lost:
+    case AttemptOutcome::query_dropped:
       return "lost";
-    case AttemptEnd::withdrawn:
+    case AttemptOutcome::cancelled:
       return "withdrawn";
   }
   return "?";
@@ -82,7 +82,7 @@
 
 Time longest_deadline(const heronwell::Settings& settings) {
   Time out{};
-  for (const auto& set : settings.classes) out = std::max(out, set.give_up);
+  for (const auto& set : settings.classes) out = std::max(out, set.request_timeout);
   return out;
 }
 }  // namespace
@@ -103,7 +103,7 @@
 
 std::optional<Time> Reducer::next_call() const {
   if (news_.empty()) return std::nullopt;
-  return called_ + settings_.step;
+  return called_ + settings_.min_call_interval;
 }
 
 // Calls the module with all that has happened, and does what it says. Calls lie a step apart at the least.
@@ -156,7 +156,7 @@
   return entry;
 }
 
-bool Reducer::learn_starts(const FleetChange& change) {
+bool Reducer::learn_starts(const MembershipChange& change) {
   bool changed = false;
   for (const auto& member : change.members) {
     const Time start = member.entry.last_start;
@@ -172,16 +172,16 @@
   return changed;
 }
 
-void Reducer::on(FleetChange& change) {
-  heronwell::Listing listing;
-  listing.kind = !change.full  ? heronwell::ListKind::delta
-                 : fleet_told_ ? heronwell::ListKind::full
-                               : heronwell::ListKind::cached;
+void Reducer::on(MembershipChange& change) {
+  heronwell::MembershipUpdate listing;
+  listing.kind = !change.full  ? heronwell::MembershipUpdateKind::delta
+                 : fleet_told_ ? heronwell::MembershipUpdateKind::full
+                               : heronwell::MembershipUpdateKind::cached;
   if (change.full) {
     std::erase_if(members_, [&](const auto& known) {
       const auto same = [&](const Member& m) { return m.entry.engine == known.first; };
       if (std::ranges::any_of(change.members, same)) return false;
-      put(EngineMoved{known.first, known.second.address, false, false});
+      put(EngineUpdated{known.first, known.second.address, false, false});
       return true;
     });
   }
@@ -191,8 +191,8 @@
   for (auto& member : change.members) {
     listing.engines.push_back(entry_of(member));
     const auto state = member.entry.state;
-    put(EngineMoved{member.entry.engine, member.address, state != EngineState::gone,
-                    state == EngineState::ready});
+    put(EngineUpdated{member.entry.engine, member.address, state != EngineState::gone,
+                      state == EngineState::ready});
     const auto id = member.entry.engine;
     // Engines come with new ids for ever: what is gone is not kept.
     if (state == EngineState::gone) {
@@ -213,23 +213,24 @@
         abandon({id, static_cast<AttemptIndex>(n)}, attempt, false);
     }
   }
-  if (change.live) on(FleetQuiet{});
+  if (change.live) on(DiscoveryIdle{});
 }
 
-void Reducer::on(const FleetQuiet& quiet) {
-  if (quiet.heard) start_clock_.caught_up(now_);
+void Reducer::on(const DiscoveryIdle& quiet) {
+  if (quiet.caught_up) start_clock_.caught_up(now_);
   const auto ready = [](const auto& m) { return m.second.entry.state == EngineState::ready; };
   if (std::ranges::any_of(members_, ready)) lifecycle_.fleet_known();
 }
 
-void Reducer::on(Arrived& arrived) {
-  auto& asked = arrived.asked;
-  if (asked.barred) return put(Answer{asked.client, AnswerKind::refused, *asked.barred, {}, {}});
+void Reducer::on(RequestArrived& arrived) {
+  auto& asked = arrived.request;
+  if (asked.admission_retry_after)
+    return put(Answer{asked.client, AnswerKind::rejected, *asked.admission_retry_after, {}, {}});
   forget_tickets();
   const auto bytes = weight(asked);
-  const bool full = settings_.max_open != 0 && owed_ >= settings_.max_open;
+  const bool full = settings_.max_open_requests != 0 && owed_ >= settings_.max_open_requests;
   if (lifecycle_.closed() || full || held_bytes_ + bytes > most_bytes_) {
-    return put(Answer{asked.client, AnswerKind::refused, settings_.max_retry_after, {}, {}});
+    return put(Answer{asked.client, AnswerKind::rejected, settings_.max_retry_after, {}, {}});
   }
   // Engines know a query by its ticket: another under the same would get the first one's answer. Nor does a
   // ticket stand for a new request once it has had its final answer: clients draw one with every try.
@@ -238,17 +239,17 @@
   const auto id = ++last_request_;
   heronwell::Arrival arrival;
   arrival.request = id;
-  arrival.cls = asked.cls;
+  arrival.class_index = asked.class_index;
   arrival.tenant = asked.tenant;
   arrival.order_key = asked.order_key;
-  arrival.cost = asked.cost;
-  arrival.memory_mb = asked.memory_mb;
+  arrival.estimated_work = asked.estimated_work;
+  arrival.estimated_memory_mb = asked.estimated_memory_mb;
   arrival.data_group = asked.data_group;
-  arrival.repeat = asked.repeat;
+  arrival.is_retry = asked.is_retry;
   by_client_[asked.client] = id;
   auto& request = requests_[id];
   request.taken = now_;
-  request.deadline = (arrived.came > Time::zero() ? arrived.came : now_) + asked.limit;
+  request.deadline = (arrived.received_at > Time::zero() ? arrived.received_at : now_) + asked.timeout;
   request.asked = std::move(asked);
   held_bytes_ += bytes;
   ++owed_;
@@ -256,7 +257,7 @@
   news_.push_back(arrival);
 }
 
-void Reducer::on(const Cancelled& cancelled) {
+void Reducer::on(const RequestCancelled& cancelled) {
   const auto found = by_client_.find(cancelled.client);
   if (found == by_client_.end()) return;
   const auto id = found->second;
@@ -265,12 +266,12 @@
   by_client_.erase(found);
   --owed_;
   log_end(request, "dropped", "its client has cancelled it or is gone");
-  news_.push_back(heronwell::ClientLeft{id});
+  news_.push_back(heronwell::RequestCancelled{id});
   forget_if_done(id);
 }
 
 // What runs for it is finished, in case it still reads; nothing begins for it any more.
-void Reducer::on(const ClientEnded& ended) {
+void Reducer::on(const ClientHalfClosed& ended) {
   const auto found = by_client_.find(ended.client);
   if (found == by_client_.end()) return;
   requests_.at(found->second).client_ended = true;
@@ -296,46 +297,46 @@
   attempt->stage = Stage::out;
   attempt->priority = request.priority;
   const auto& asked = request.asked;
-  put(Transmit{ready.id, asked.cls, attempt->until - now_, request.memory_mb, request.priority, asked.ticket,
-               asked.nonce, asked.body, asked.parameters});
+  put(Transmit{ready.id, asked.class_index, attempt->until - now_, request.memory_mb, request.priority,
+               asked.ticket, asked.idempotency_key, asked.body, asked.parameters});
 }
 
 // A note without a figure: neither the attempt nor its engine is lost, however long it takes.
-void Reducer::on(const AttemptHeard& heard) {
+void Reducer::on(const AttemptProgressed& heard) {
   const auto* attempt = find(heard.id);
   if (attempt == nullptr || attempt->stage != Stage::out) return;
-  news_.push_back(
-      heronwell::Note{heard.id.request, heard.id.index, attempt->engine, heronwell::NoteKind::waiting, 0});
+  news_.push_back(heronwell::ProgressReport{heard.id.request, heard.id.index, attempt->engine,
+                                            heronwell::ProgressKind::waiting, 0});
 }
 
 void Reducer::on(AttemptEnded& ended) {
   auto* attempt = find(ended.id);
   if (attempt == nullptr || attempt->stage == Stage::over) return;
   // What was given up before its first byte has never run.
-  const bool unsent = ended.end == AttemptEnd::expired;
+  const bool unsent = ended.outcome == AttemptOutcome::expired;
   conclude(ended.id, requests_.at(ended.id.request),
-           unsent ? Result::moot : result_of(ended.end, attempt->timed_out), &ended);
+           unsent ? AttemptStatus::expired : result_of(ended.outcome, attempt->timed_out), &ended);
 }
 
-void Reducer::conclude(AttemptId id, Request& request, Result result, AttemptEnded* told) {
+void Reducer::conclude(AttemptId id, Request& request, AttemptStatus result, AttemptEnded* told) {
   auto& attempt = request.attempts[id.index];
   attempt.stage = Stage::over;
-  heronwell::Outcome outcome;
+  heronwell::AttemptResult outcome;
   outcome.request = id.request;
   outcome.attempt = id.index;
   outcome.engine = attempt.engine;
-  outcome.result = result;
+  outcome.status = result;
   outcome.latency = now_ - attempt.begun;
   if (told != nullptr) {
-    attempt.end = told->end;
+    attempt.end = told->outcome;
     outcome.work = told->work;
-    outcome.memory_mb = told->memory_mb;
+    outcome.memory_needed_mb = told->memory_needed_mb;
     outcome.load = std::move(told->load);
-    if (result == Result::served && !request.answered)
-      serve(request, std::move(told->body), std::move(told->shape));
-    if (result != Result::served && !told->body.empty()) request.last_word = std::move(told->body);
+    if (result == AttemptStatus::served && !request.answered)
+      serve(request, std::move(told->body), std::move(told->result_schema));
+    if (result != AttemptStatus::served && !told->body.empty()) request.last_word = std::move(told->body);
   }
-  outcome.closed = request.answered;
+  outcome.request_closed = request.answered;
   news_.push_back(std::move(outcome));
   if (request.client_ended && !request.answered) return give_up_unless_it_runs(id.request);
   forget_if_done(id.request);
@@ -350,35 +351,35 @@
   }
   if (sent.empty()) probes_.erase(ended.engine);
   probe.engine = ended.engine;
-  probe.result = ended.result;
+  probe.status = ended.status;
   probe.load = std::move(ended.load);
   news_.push_back(std::move(probe));
 }
 
-void Reducer::on(PeerHeard& heard) {
+void Reducer::on(PeerMessageReceived& heard) {
   news_.push_back(heronwell::PeerMessage{heard.from, std::move(heard.bytes)});
 }
 
-void Reducer::on(const StopAsked&) {
+void Reducer::on(const ShutdownRequested&) {
   lifecycle_.stop(now_);
   put(Log{std::string("phase: ") + name(lifecycle_.phase())});
 }
 
 // What was taken, the engines known and the module's state carry on: only where news come from may change.
 void Reducer::on(ConfigurationRead& read) {
-  if (!read.problem.empty()) return put(Log{"the configuration stays as it was: " + read.problem});
+  if (!read.error.empty()) return put(Log{"the configuration stays as it was: " + read.error});
   std::string said = "the configuration was read again";
-  for (std::size_t i = 0; i < read.fixed.size(); ++i)
-    said += (i == 0 ? "; changed, but of use only after a restart: " : ", ") + read.fixed[i];
+  for (std::size_t i = 0; i < read.restart_required.size(); ++i)
+    said += (i == 0 ? "; changed, but of use only after a restart: " : ", ") + read.restart_required[i];
   put(Log{std::move(said)});
-  put(FollowChangeLog{std::move(read.changelog)});
+  put(WatchChangeLog{std::move(read.changelog)});
 }
 
 void Reducer::on(const Tick& tick) {
   wheel_.advance(now_, [this](const Alarm& alarm) { on(alarm); });
   if (lifecycle_.overdue(now_)) give_up_all();
   // What stays in the table without an answer owed waits for engines to hear that it was given up.
-  if (!lifecycle_.advance(now_, owed_ > 0, tick.unwritten || !requests_.empty())) return;
+  if (!lifecycle_.advance(now_, owed_ > 0, tick.output_pending || !requests_.empty())) return;
   put(Log{std::string("phase: ") + name(lifecycle_.phase())});
   if (lifecycle_.phase() == Phase::exited) put(Exit{});
 }
@@ -395,22 +396,23 @@
 
 void Reducer::give_up(RequestId id, const char* reason) {
   auto& request = requests_.at(id);
-  const auto& set = settings_.classes[request.asked.cls];
-  const bool harmless = request.attempts.empty() || set.effect == heronwell::Effect::safe ||
-                        (set.effect == heronwell::Effect::keyed && set.group == heronwell::RepeatGroup::all);
-  const Time pause = settings_.retry_after ? settings_.max_retry_after : Time::zero();
-  turn_down(request, harmless ? AnswerKind::refused : AnswerKind::failed, harmless ? pause : Time::zero(),
+  const auto& set = settings_.classes[request.asked.class_index];
+  const bool harmless = request.attempts.empty() || set.idempotency == heronwell::Idempotency::safe ||
+                        (set.idempotency == heronwell::Idempotency::keyed &&
+                         set.deduplication_scope == heronwell::DeduplicationScope::all);
+  const Time pause = settings_.sends_retry_after ? settings_.max_retry_after : Time::zero();
+  turn_down(request, harmless ? AnswerKind::rejected : AnswerKind::failed, harmless ? pause : Time::zero(),
             reason);
   for (std::size_t n = 0; n < request.attempts.size(); ++n)
     abandon({id, static_cast<AttemptIndex>(n)}, request.attempts[n], false);
-  news_.push_back(heronwell::ClientLeft{id});
+  news_.push_back(heronwell::RequestCancelled{id});
   forget_if_done(id);
 }
 
 void Reducer::on(const Alarm& alarm) {
   switch (alarm.kind) {
     case Alarm::Kind::wake:
-      news_.push_back(heronwell::Wake{});
+      news_.push_back(heronwell::TimerExpired{});
       return;
     case Alarm::Kind::attempt:
       if (auto* attempt = find(alarm.id); attempt != nullptr) abandon(alarm.id, *attempt, true);
@@ -418,7 +420,7 @@
     case Alarm::Kind::deadline:
       if (auto* request = find(alarm.id.request); request != nullptr && !request->answered) {
         turn_down(*request, AnswerKind::timed_out, Time::zero(), "left open until its deadline");
-        news_.push_back(heronwell::ClientLeft{alarm.id.request});
+        news_.push_back(heronwell::RequestCancelled{alarm.id.request});
         forget_if_done(alarm.id.request);
       }
       return;
@@ -434,16 +436,17 @@
   Attempt attempt;
   attempt.engine = send.engine;
   attempt.begun = now_;
-  attempt.until = std::min(send.until == Time::zero() ? request->deadline : send.until, request->deadline);
-  attempt.leave_by = send.leave_by;
+  attempt.until =
+      std::min(send.deadline == Time::zero() ? request->deadline : send.deadline, request->deadline);
+  attempt.leave_by = send.send_by;
   request->attempts.push_back(attempt);
   if (request->answered || request->client_ended || attempt.until <= now_)
-    return conclude(id, *request, Result::moot, nullptr);
+    return conclude(id, *request, AttemptStatus::expired, nullptr);
   wheel_.arm(attempt.until, {Alarm::Kind::attempt, id});
   put(StartAttempt{id, send.engine});
 }
 
-void Reducer::act(const heronwell::CallOff& off) {
+void Reducer::act(const heronwell::CancelAttempt& off) {
   const AttemptId id{off.request, off.attempt};
   if (auto* attempt = find(id); attempt != nullptr) abandon(id, *attempt, false);
 }
@@ -452,13 +455,13 @@
   if (attempt.stage != Stage::waiting && attempt.stage != Stage::out) return;
   attempt.stage = Stage::leaving;
   attempt.timed_out = timed_out;
-  put(Abandon{id});
+  put(CancelAttempt{id});
 }
 
-void Reducer::act(const heronwell::Refuse& refuse) {
+void Reducer::act(const heronwell::Reject& refuse) {
   auto* request = find(refuse.request);
   if (request == nullptr || request->answered) return;
-  turn_down(*request, AnswerKind::refused, refuse.pause, refuse.reason);
+  turn_down(*request, AnswerKind::rejected, refuse.retry_after, refuse.reason);
   forget_if_done(refuse.request);
 }
 
@@ -470,7 +473,7 @@
   forget_if_done(fail.request);
 }
 
-void Reducer::act(const heronwell::Terms& terms) {
+void Reducer::act(const heronwell::ExecutionLimits& terms) {
   auto* request = find(terms.request);
   if (request == nullptr) return;
   request->memory_mb = terms.memory_mb;
@@ -479,20 +482,18 @@
     auto& attempt = request->attempts[n];
     if (attempt.stage != Stage::out || attempt.priority == terms.priority) continue;
     attempt.priority = terms.priority;
-    put(Reprioritize{{terms.request, static_cast<AttemptIndex>(n)}, terms.priority});
+    put(SetPriority{{terms.request, static_cast<AttemptIndex>(n)}, terms.priority});
   }
 }
 
-void Reducer::act(const heronwell::WakeAfter& wake) {
-  wheel_.arm(now_ + wake.delay, {Alarm::Kind::wake, {}});
-}
+void Reducer::act(const heronwell::SetTimer& wake) { wheel_.arm(now_ + wake.delay, {Alarm::Kind::wake, {}}); }
 
 void Reducer::act(const heronwell::Probe& probe) {
   probes_[probe.engine].push_back(now_);
   put(ProbeEngine{probe.engine});
 }
 
-void Reducer::act(heronwell::Tell& tell) { put(TellPeers{tell.to, std::move(tell.bytes)}); }
+void Reducer::act(heronwell::SendPeerMessage& tell) { put(SendToPeers{tell.to, std::move(tell.bytes)}); }
 void Reducer::act(heronwell::Trace& trace) { put(Log{std::move(trace.text)}); }
 
 void Reducer::serve(Request& request, std::string body, std::string shape) {
@@ -517,9 +518,9 @@
     put(Log{std::to_string(left_out) + " lines on requests were left out"});
   const auto milliseconds = [](Time time) { return std::to_string(time / 1ms) + " ms"; };
   const auto& asked = request.asked;
-  std::string text = "request " + asked.ticket + " " + settings_.classes[asked.cls].name + " " + how + ": " +
-                     reason + "; after " + milliseconds(now_ - request.taken) + " of " +
-                     milliseconds(asked.limit);
+  std::string text = "request " + asked.ticket + " " + settings_.classes[asked.class_index].name + " " + how +
+                     ": " + reason + "; after " + milliseconds(now_ - request.taken) + " of " +
+                     milliseconds(asked.timeout);
   for (const auto& attempt : request.attempts) {
     text += "; engine " + std::to_string(attempt.engine) + " " + stage_name(attempt.stage);
     if (attempt.end) text += std::string(" ") + name(*attempt.end);
--- a/src/core/reducer.hpp
+++ b/src/core/reducer.hpp
@@ -43,12 +43,12 @@
     EngineId engine = 0;
     Stage stage = Stage::waiting;
     Time begun{}, until{}, leave_by{};  // leave_by: 0 for none
-    std::optional<AttemptEnd> end;      // once over; none if it never began
+    std::optional<AttemptOutcome> end;  // once over; none if it never began
     bool timed_out = false;
     std::uint8_t priority = 1;
   };
   struct Request {
-    Submission asked;
+    ClientRequest asked;
     Time taken{}, deadline{};
     bool answered = false;
     bool client_ended = false;  // no further attempt is made for it
@@ -63,37 +63,37 @@
   };
 
   void on(const Listening&);
-  void on(FleetChange& change);
-  void on(const FleetQuiet& quiet);
-  void on(Arrived& arrived);
-  void on(const Cancelled& cancelled);
-  void on(const ClientEnded& ended);
+  void on(MembershipChange& change);
+  void on(const DiscoveryIdle& quiet);
+  void on(RequestArrived& arrived);
+  void on(const RequestCancelled& cancelled);
+  void on(const ClientHalfClosed& ended);
   void on(const AttemptReady& ready);
-  void on(const AttemptHeard& heard);
+  void on(const AttemptProgressed& heard);
   void on(AttemptEnded& ended);
   void on(ProbeEnded& ended);
-  void on(PeerHeard& heard);
-  void on(const StopAsked&);
-  void on(const ReloadAsked&) { put(ReadConfiguration{}); }
+  void on(PeerMessageReceived& heard);
+  void on(const ShutdownRequested&);
+  void on(const ReloadRequested&) { put(ReadConfiguration{}); }
   void on(ConfigurationRead& read);
   void on(const Tick& tick);
   void on(const Alarm& alarm);
 
   void act(const heronwell::Send& send);
-  void act(const heronwell::CallOff& off);
-  void act(const heronwell::Refuse& refuse);
+  void act(const heronwell::CancelAttempt& off);
+  void act(const heronwell::Reject& refuse);
   void act(const heronwell::Fail& fail);
-  void act(const heronwell::Terms& terms);
-  void act(const heronwell::WakeAfter& wake);
+  void act(const heronwell::ExecutionLimits& terms);
+  void act(const heronwell::SetTimer& wake);
   void act(const heronwell::Probe& probe);
-  void act(heronwell::Tell& tell);
-  void act(const heronwell::Observe&) {}  // the change log is always asked
+  void act(heronwell::SendPeerMessage& tell);
+  void act(const heronwell::WatchMembership&) {}  // the change log is always asked
   void act(heronwell::Trace& trace);
 
   // As the module is told of it: its moments are on the monotonic clock.
   [[nodiscard]] heronwell::EngineEntry entry_of(const Member& member) const;
   // True: starts that were told before translate to other moments now.
-  bool learn_starts(const FleetChange& change);
+  bool learn_starts(const MembershipChange& change);
   void consult();
   void give_up_all();
   void give_up(RequestId id, const char* reason);
@@ -104,7 +104,7 @@
   void settle(Request& request, Answer answer);
   static const char* stage_name(Stage stage);
   void log_end(const Request& request, const char* how, const char* reason);
-  void conclude(AttemptId id, Request& request, heronwell::Result result, AttemptEnded* told);
+  void conclude(AttemptId id, Request& request, heronwell::AttemptStatus result, AttemptEnded* told);
   void abandon(AttemptId id, Attempt& attempt, bool timed_out);
   void forget_if_done(RequestId id);
   void forget_tickets();
@@ -117,7 +117,7 @@
   Lifecycle lifecycle_;
   TimerWheel<Alarm> wheel_{kTick};
   std::unordered_map<RequestId, Request> requests_;
-  std::unordered_map<Client, RequestId> by_client_;
+  std::unordered_map<ClientHandle, RequestId> by_client_;
   std::unordered_set<std::string> tickets_;  // of the requests held, and of those answered of late
   std::deque<std::pair<Time, std::string>> answered_tickets_;  // of those held no more, and since when
   std::unordered_map<EngineId, Member> members_;
--- a/src/directory/ldap.cpp
+++ b/src/directory/ldap.cpp
@@ -164,7 +164,7 @@
   std::uint32_t tenant_ = 0;
 };
 
-Ldap::Ldap(ev::loop_ref loop, const config::Directory& config, const config::Names& names)
+Ldap::Ldap(ev::loop_ref loop, const config::Directory& config, const config::NameIndex& names)
     : loop_(loop), config_(config), names_(names), salt_(32, '\0') {
   RAND_bytes(reinterpret_cast<unsigned char*>(salt_.data()), static_cast<int>(salt_.size()));
   // The library reads its own files at its first use: before anything is served.
--- a/src/directory/ldap.hpp
+++ b/src/directory/ldap.hpp
@@ -22,7 +22,7 @@
 
 class Ldap {
  public:
-  Ldap(ev::loop_ref loop, const config::Directory& config, const config::Names& names);
+  Ldap(ev::loop_ref loop, const config::Directory& config, const config::NameIndex& names);
   ~Ldap();
 
   void look_up(const std::string& user, const std::string& password, Done done);
@@ -39,7 +39,7 @@
 
   ev::loop_ref loop_;
   const config::Directory& config_;
-  const config::Names& names_;
+  const config::NameIndex& names_;
   std::string salt_;
   std::unordered_map<std::string, Known> known_;
   std::list<std::unique_ptr<Question>> open_;
--- a/src/mysql/engines.cpp
+++ b/src/mysql/engines.cpp
@@ -7,8 +7,8 @@
 namespace bellstair::mysql {
 namespace {
 using namespace std::chrono_literals;
-using core::AttemptEnd;
 using core::AttemptId;
+using core::AttemptOutcome;
 
 constexpr std::size_t kMostPacket = std::size_t{4} << 20;
 constexpr std::size_t kMostResult = std::size_t{4} << 20;
@@ -99,7 +99,7 @@
 
 // ---- effects
 
-void Engines::run(const core::EngineMoved& effect) {
+void Engines::run(const core::EngineUpdated& effect) {
   effect.usable ? pool_.place(effect.engine, effect.address) : pool_.retire(effect.engine);
   if (effect.accepting) return;
   // A statement that is being prepared has not been sent yet, and must not be once the engine drains.
@@ -107,7 +107,7 @@
   for (const auto& [id, attempt] : attempts_) {
     if (attempt.engine == effect.engine && attempt.stage == Stage::preparing) unsent.push_back(id);
   }
-  for (const auto id : unsent) run(core::Abandon{id});
+  for (const auto id : unsent) run(core::CancelAttempt{id});
 }
 
 void Engines::tick(core::Time now) {
@@ -128,7 +128,7 @@
   attempt.engine = effect.engine;
   attempt.result.id = id;
   attempt.ticket = pool_.acquire(effect.engine, [this, id](Connection* connection) {
-    if (connection == nullptr) return end(id, AttemptEnd::not_connected);
+    if (connection == nullptr) return end(id, AttemptOutcome::connect_failed);
     auto& taken = attempts_.at(id);
     taken.connection = connection;
     taken.stage = Stage::ready;
@@ -160,10 +160,10 @@
   std::vector<Attribute> attributes;
   if (session.attributes()) {
     attributes = {{"ticket", what.ticket},
-                  {"class", class_names_.at(what.cls)},
-                  {"limit", static_cast<std::int64_t>(what.wait / 1ms)},
+                  {"class", class_names_.at(what.class_index)},
+                  {"limit", static_cast<std::int64_t>(what.timeout / 1ms)},
                   {"priority", static_cast<std::int64_t>(what.priority)}};
-    if (!what.nonce.empty()) attributes.push_back({"unique", what.nonce});
+    if (!what.idempotency_key.empty()) attributes.push_back({"unique", what.idempotency_key});
     if (what.memory_mb >= 1) attributes.push_back({"memory", static_cast<std::int64_t>(what.memory_mb)});
   }
   std::string payload;
@@ -172,7 +172,7 @@
   } else {
     auto values = sql::unpack(what.parameters);
     if (!values || values->size() != attempt.prepared.parameters)
-      return end(id, AttemptEnd::error, "the engine counts other parameters");
+      return end(id, AttemptOutcome::error, "the engine counts other parameters");
     payload =
         write_execute({attempt.prepared.statement, std::move(*values), attributes}, session.attributes());
   }
@@ -180,7 +180,7 @@
   attempt.connection->stream.write(frame(0, payload));
 }
 
-void Engines::run(const core::Abandon& effect) {
+void Engines::run(const core::CancelAttempt& effect) {
   const auto id = effect.id;
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
@@ -188,17 +188,17 @@
   switch (attempt.stage) {
     case Stage::waiting:
       pool_.withdraw(attempt.engine, attempt.ticket);
-      return end(id, AttemptEnd::expired);
+      return end(id, AttemptOutcome::expired);
     case Stage::ready:
-      return end(id, AttemptEnd::expired);
+      return end(id, AttemptOutcome::expired);
     case Stage::preparing:
       // Its answer is still to come, and must not be taken for another's.
       pool_.discard(*std::exchange(attempt.connection, nullptr));
-      return end(id, AttemptEnd::expired);
+      return end(id, AttemptOutcome::expired);
     case Stage::executing: {
       attempt.stage = Stage::leaving;
       const auto number = static_cast<Session&>(*attempt.connection->session).connection;
-      return kill(attempt.engine, number, [this, id] { end(id, AttemptEnd::withdrawn); });
+      return kill(attempt.engine, number, [this, id] { end(id, AttemptOutcome::cancelled); });
     }
     case Stage::leaving:
       return;
@@ -213,9 +213,9 @@
 void Engines::run(const core::ProbeEngine& effect) {
   const auto engine = effect.engine;
   aside(engine, command(kPing, {}), [this, engine](bool had, bool answered) {
-    const auto result = !had       ? heronwell::Result::not_connected
-                        : answered ? heronwell::Result::served
-                                   : heronwell::Result::timed_out;
+    const auto result = !had       ? heronwell::AttemptStatus::connect_failed
+                        : answered ? heronwell::AttemptStatus::served
+                                   : heronwell::AttemptStatus::timed_out;
     post_(core::ProbeEnded{engine, result, {}});
   });
 }
@@ -303,7 +303,7 @@
       const bool busy =
           error.code == kTooManyConnections || error.code == kShuttingDown || error.code == kTooManyOfUser;
       // It was never executed; but a statement that is wrong is wrong on every engine.
-      return end(id, busy ? AttemptEnd::turned_away : AttemptEnd::error, error.message);
+      return end(id, busy ? AttemptOutcome::rejected : AttemptOutcome::error, error.message);
     }
     attempt.prepared = read_prepared(payload);
     const auto parts = [](std::size_t count) {
@@ -328,7 +328,7 @@
   if (is_error(payload)) {
     const auto error = read_error(payload);
     if (attempt.stage == Stage::leaving) return;  // the answer to the kill ends it
-    return end(id, AttemptEnd::error, error.message);
+    return end(id, AttemptOutcome::error, error.message);
   }
   const bool binary = !attempt.what.parameters.empty();
   if (attempt.columns == 0) {
@@ -338,7 +338,7 @@
       attempt.shape.rows = false;
       attempt.shape.affected = in.lenenc();
       attempt.shape.insert_id = in.lenenc();
-      return end(id, AttemptEnd::served);
+      return end(id, AttemptOutcome::served);
     }
     attempt.columns = in.lenenc();
     if (attempt.columns > 4096) throw Malformed("too many columns");
@@ -352,7 +352,7 @@
     return;
   }
   if (is_eof(payload)) {
-    if (attempt.rows) return end(id, AttemptEnd::served);
+    if (attempt.rows) return end(id, AttemptOutcome::served);
     attempt.rows = true;
     return;
   }
@@ -372,30 +372,30 @@
     case Stage::waiting:
     case Stage::ready:
     case Stage::preparing:
-      return end(id, AttemptEnd::not_connected);  // it was never executed
+      return end(id, AttemptOutcome::connect_failed);  // it was never executed
     case Stage::executing:
-      return end(id, AttemptEnd::reset);  // it may have been
+      return end(id, AttemptOutcome::connection_reset);  // it may have been
     case Stage::leaving:
-      return end(id, AttemptEnd::withdrawn);
+      return end(id, AttemptOutcome::cancelled);
   }
 }
 
-void Engines::end(AttemptId id, AttemptEnd how, std::string said) {
+void Engines::end(AttemptId id, AttemptOutcome how, std::string said) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   auto attempt = std::move(found->second);
   attempts_.erase(found);
   if (attempt.connection != nullptr) {
     // A connection that was killed, or that still has something to say, is of no more use.
-    const bool clean = how == AttemptEnd::served || how == AttemptEnd::expired || how == AttemptEnd::error ||
-                       how == AttemptEnd::turned_away;
+    const bool clean = how == AttemptOutcome::served || how == AttemptOutcome::expired ||
+                       how == AttemptOutcome::error || how == AttemptOutcome::rejected;
     // What came behind an answer would be taken for the next one's.
     const auto& reader = static_cast<Session&>(*attempt.connection->session).reader;
     clean&& reader.buffered() == 0 ? pool_.release(*attempt.connection) : pool_.discard(*attempt.connection);
   }
-  attempt.result.end = how;
-  if (how == AttemptEnd::served) {
-    attempt.result.shape = pack(attempt.shape);
+  attempt.result.outcome = how;
+  if (how == AttemptOutcome::served) {
+    attempt.result.result_schema = pack(attempt.shape);
   } else {
     attempt.result.body = std::move(said);
   }
--- a/src/mysql/engines.hpp
+++ b/src/mysql/engines.hpp
@@ -25,10 +25,10 @@
 
   void run(const core::StartAttempt& effect) override;
   void run(core::Transmit& effect) override;
-  void run(const core::Abandon& effect) override;
-  void run(const core::Reprioritize&) override {}  // the protocol knows no priorities
+  void run(const core::CancelAttempt& effect) override;
+  void run(const core::SetPriority&) override {}  // the protocol knows no priorities
   void run(const core::ProbeEngine& effect) override;
-  void run(const core::EngineMoved& effect) override;
+  void run(const core::EngineUpdated& effect) override;
   void settle() override { pool_.settle(); }
   void tick(core::Time now) override;
 
@@ -60,7 +60,7 @@
   void take_result(core::AttemptId id, Attempt& attempt, const std::string& payload);
   void execute(core::AttemptId id, Attempt& attempt);
   void lost(core::AttemptId id);
-  void end(core::AttemptId id, core::AttemptEnd how, std::string said = {});
+  void end(core::AttemptId id, core::AttemptOutcome how, std::string said = {});
   void kill(core::EngineId engine, std::uint32_t connection, std::function<void()> done);
   // A command that OK answers, on any connection of the engine's; `done` is told whether one could be had,
   // and whether it was answered.
--- a/src/mysql/front.cpp
+++ b/src/mysql/front.cpp
@@ -40,7 +40,7 @@
 }  // namespace
 
 Front::Front(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config,
-             const config::Names& names, const heronwell::Settings& settings, Options options,
+             const config::NameIndex& names, const heronwell::Settings& settings, Options options,
              std::uint64_t& handles, std::uint64_t seed, Post post)
     : loop_(loop),
       config_(config),
@@ -255,7 +255,7 @@
     connection.binary = binary;
     connection.reads = word == "select" || word == "with" || word == "show";
     running_[asked.client] = connection.serial;
-    post_(core::Arrived{std::move(asked)});
+    post_(core::RequestArrived{std::move(asked)});
   } catch (const Refusal& refusal) {
     send_error(connection, refusal.error);
   }
@@ -279,7 +279,7 @@
 
 void Front::write_result(Connection& connection, const core::Answer& answer) {
   const auto rows = read_rows(answer.body, options_.escaped_rows);
-  auto shape = unpack(answer.shape);
+  auto shape = unpack(answer.result_schema);
   if (!shape) {
     // The platform's engines tell rows only: columns have no names, and a write without rows is merely done.
     shape.emplace();
@@ -320,7 +320,7 @@
 void Front::close(Connection& connection) {
   if (connection.client != 0) {
     running_.erase(connection.client);
-    post_(core::Cancelled{connection.client});
+    post_(core::RequestCancelled{connection.client});
   }
   connection.stream.close();
   const auto found = connections_.find(connection.serial);
--- a/src/mysql/front.hpp
+++ b/src/mysql/front.hpp
@@ -30,9 +30,9 @@
     bool escaped_rows = false;  // see read_rows()
     directory::Lookup lookup;   // of users that the front's own file does not name; empty: no directory
   };
-  Front(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config, const config::Names& names,
-        const heronwell::Settings& settings, Options options, std::uint64_t& handles, std::uint64_t seed,
-        Post post);
+  Front(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config,
+        const config::NameIndex& names, const heronwell::Settings& settings, Options options,
+        std::uint64_t& handles, std::uint64_t seed, Post post);
 
   bool run(const core::Answer& answer);  // false: the client is not one of this front's
   void settle() { gone_.clear(); }
@@ -59,8 +59,8 @@
     std::uint32_t capabilities = 0, tenant = 0;
     std::uint8_t sequence = 0;
     bool taking = false, closing = false;
-    core::Client client = 0;  // while one of its statements runs
-    bool binary = false;      // it was prepared
+    core::ClientHandle client = 0;  // while one of its statements runs
+    bool binary = false;            // it was prepared
     bool reads = false;
     std::map<std::uint32_t, Statement> statements;
     std::uint32_t last_statement = 0;
@@ -89,7 +89,7 @@
 
   ev::loop_ref loop_;
   const config::MysqlFront& config_;
-  const config::Names& names_;
+  const config::NameIndex& names_;
   const heronwell::Settings& settings_;
   Options options_;
   std::uint64_t& handles_;
@@ -97,7 +97,7 @@
   Post post_;
   net::Listener listener_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::unordered_map<core::Client, std::uint64_t> running_;
+  std::unordered_map<core::ClientHandle, std::uint64_t> running_;
   std::vector<std::unique_ptr<Connection>> gone_;
   core::TimerWheel<std::uint64_t> logins_{std::chrono::milliseconds(5)};
   std::uint64_t serial_ = 0;
--- a/src/mysql/mapping.cpp
+++ b/src/mysql/mapping.cpp
@@ -72,7 +72,7 @@
   return word == "select" || word == "with" || word == "show" || word == "values" || word == "table";
 }
 
-core::ClassIndex class_of(const Options& options, std::string_view statement, const config::Names& names,
+core::ClassIndex class_of(const Options& options, std::string_view statement, const config::NameIndex& names,
                           const heronwell::Settings& settings) {
   if (const auto given = options.find("class"); given != options.end()) {
     const auto found = names.classes.find(given->second);
@@ -80,39 +80,39 @@
     return found->second;
   }
   // A statement that only reads may go without: it is of the first class that is safe to repeat.
-  const auto safe =
-      std::ranges::find(settings.classes, heronwell::Effect::safe, &heronwell::ClassSettings::effect);
+  const auto safe = std::ranges::find(settings.classes, heronwell::Idempotency::safe,
+                                      &heronwell::ClassSettings::idempotency);
   if (!reads(statement) || safe == settings.classes.end()) wrong("class is missing");
   return static_cast<core::ClassIndex>(safe - settings.classes.begin());
 }
 
 }  // namespace
 
-core::Submission map_statement(std::string_view statement, const std::vector<sql::Value>& values,
-                               const std::vector<Attribute>& attributes, std::uint32_t tenant,
-                               const config::Names& names, const heronwell::Settings& settings) {
+core::ClientRequest map_statement(std::string_view statement, const std::vector<sql::Value>& values,
+                                  const std::vector<Attribute>& attributes, std::uint32_t tenant,
+                                  const config::NameIndex& names, const heronwell::Settings& settings) {
   auto options = comment_options(statement, values);
   for (const auto& attribute : attributes) {
     // Drivers send attributes of their own too: those are no concern of ours.
     if (const auto value = sql::as_text(attribute.value); value && known(attribute.name))
       options[attribute.name] = *value;
   }
-  core::Submission out;
-  out.cls = class_of(options, statement, names, settings);
-  const auto& cls = settings.classes.at(out.cls);
+  core::ClientRequest out;
+  out.class_index = class_of(options, statement, names, settings);
+  const auto& cls = settings.classes.at(out.class_index);
   out.tenant = tenant;
-  const double most = std::chrono::duration<double, std::milli>(cls.give_up).count();
-  out.limit = core::Time(static_cast<std::int64_t>(number(options, "limit", most) * 1e6));
+  const double most = std::chrono::duration<double, std::milli>(cls.request_timeout).count();
+  out.timeout = core::Time(static_cast<std::int64_t>(number(options, "limit", most) * 1e6));
   if (options.contains("cpu"))
-    out.cost = core::Time(static_cast<std::int64_t>(number(options, "cpu", 0) * 1e6));
-  out.memory_mb = number(options, "ram", 0);
-  out.repeat = number(options, "second", 0) != 0;
-  out.nonce = options["unique"];
+    out.estimated_work = core::Time(static_cast<std::int64_t>(number(options, "cpu", 0) * 1e6));
+  out.estimated_memory_mb = number(options, "ram", 0);
+  out.is_retry = number(options, "second", 0) != 0;
+  out.idempotency_key = options["unique"];
   const auto fine = [](unsigned char c) { return c > 0x20 && c < 0x7f; };
-  if (out.nonce.size() > 128 || !std::ranges::all_of(out.nonce, fine))
+  if (out.idempotency_key.size() > 128 || !std::ranges::all_of(out.idempotency_key, fine))
     wrong("unique holds what no key may hold");
   // Without a key of the client's, its own repeat could not be told from a new request.
-  if (cls.effect == heronwell::Effect::keyed && out.nonce.empty())
+  if (cls.idempotency == heronwell::Idempotency::keyed && out.idempotency_key.empty())
     wrong("unique is missing: " + cls.name + " needs it");
   if (const auto& item = options["item"]; !item.empty()) {
     const auto [end, error] = std::from_chars(item.data(), item.data() + item.size(), out.order_key, 16);
@@ -127,8 +127,8 @@
 Error error_of(const core::Answer& answer) {
   const auto more = answer.body.empty() ? std::string() : ": " + answer.body;
   switch (answer.kind) {
-    case core::AnswerKind::refused: {
-      const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(answer.pause).count();
+    case core::AnswerKind::rejected: {
+      const auto pause = std::chrono::duration_cast<std::chrono::milliseconds>(answer.retry_after).count();
       // 40001: drivers know it as "nothing has happened, try again".
       return {kRefused, "40001", "refused; come back after " + std::to_string(pause) + " ms" + more};
     }
--- a/src/mysql/mapping.hpp
+++ b/src/mysql/mapping.hpp
@@ -23,10 +23,11 @@
 };
 
 // Throws Refusal. The client handle and the ticket are the caller's to fill in.
-[[nodiscard]] core::Submission map_statement(std::string_view statement,
-                                             const std::vector<sql::Value>& values,
-                                             const std::vector<Attribute>& attributes, std::uint32_t tenant,
-                                             const config::Names& names, const heronwell::Settings& settings);
+[[nodiscard]] core::ClientRequest map_statement(std::string_view statement,
+                                                const std::vector<sql::Value>& values,
+                                                const std::vector<Attribute>& attributes,
+                                                std::uint32_t tenant, const config::NameIndex& names,
+                                                const heronwell::Settings& settings);
 
 [[nodiscard]] Error error_of(const core::Answer& answer);
 
--- a/src/net/driver.hpp
+++ b/src/net/driver.hpp
@@ -14,10 +14,10 @@
   virtual ~EngineDriver() = default;
   virtual void run(const core::StartAttempt& effect) = 0;
   virtual void run(core::Transmit& effect) = 0;
-  virtual void run(const core::Abandon& effect) = 0;
-  virtual void run(const core::Reprioritize& effect) = 0;
+  virtual void run(const core::CancelAttempt& effect) = 0;
+  virtual void run(const core::SetPriority& effect) = 0;
   virtual void run(const core::ProbeEngine& effect) = 0;
-  virtual void run(const core::EngineMoved& effect) = 0;
+  virtual void run(const core::EngineUpdated& effect) = 0;
   virtual void settle() = 0;  // once in each turn of the loop
   virtual void tick(core::Time now) = 0;
 };
--- a/src/platform/changelog.cpp
+++ b/src/platform/changelog.cpp
@@ -8,8 +8,8 @@
 
 namespace bellstair::platform {
 
-ChangeLog::ChangeLog(ev::loop_ref loop, std::string address, const config::Names& names, std::uint64_t since,
-                     net::Post post)
+ChangeLog::ChangeLog(ev::loop_ref loop, std::string address, const config::NameIndex& names,
+                     std::uint64_t since, net::Post post)
     : loop_(loop), address_(std::move(address)), names_(names), since_(since), post_(std::move(post)) {}
 
 // The numbers carry on there. An answer that has not come whole by now is asked for again.
@@ -76,7 +76,7 @@
   const auto before = since_;
   try {
     take(answer.body);
-  } catch (const config::Invalid& error) {
+  } catch (const config::ConfigError& error) {
     return lost(error.what());
   }
   if (std::exchange(troubled_, false))
@@ -84,7 +84,7 @@
                  static_cast<unsigned long long>(since_));
   // With news there may be more already.
   caught_up_ = since_ == before;
-  if (caught_up_) post_(core::FleetQuiet{true});
+  if (caught_up_) post_(core::DiscoveryIdle{true});
   stage_ = Stage::idle;
   due_ = now_ + kPace;
   if (!answer.keep_alive) disconnect();
@@ -94,11 +94,11 @@
 void ChangeLog::take(const std::string& body) {
   auto read = config::parse_changes(body, names_);
   const auto all = config::parse_json(body, "change log");
-  std::vector<std::pair<std::uint64_t, core::FleetChange*>> news;
+  std::vector<std::pair<std::uint64_t, core::MembershipChange*>> news;
   std::size_t at = 0;
   auto last = std::max(since_, read.seq);
   for (const auto& event : all["results"]) {
-    const auto seq = config::whole(config::need(event, "seq"), "results[].seq");
+    const auto seq = config::unsigned_value(config::require_field(event, "seq"), "results[].seq");
     last = std::max(last, seq);
     // parse_changes() leaves out events of other kinds.
     auto* const change = event.contains("fleet") ? &read.changes[at++] : nullptr;
@@ -121,7 +121,7 @@
   disconnect();
   caught_up_ = false;
   due_ = now_ + kPause;
-  post_(core::FleetQuiet{false});  // what is known has to do
+  post_(core::DiscoveryIdle{false});  // what is known has to do
 }
 
 void ChangeLog::disconnect() {
--- a/src/platform/changelog.hpp
+++ b/src/platform/changelog.hpp
@@ -29,7 +29,7 @@
   static constexpr std::size_t kMostBody = std::size_t{1} << 20;
 
   // `names` has to outlive this; `since`: the number of the last event known.
-  ChangeLog(ev::loop_ref loop, std::string address, const config::Names& names, std::uint64_t since,
+  ChangeLog(ev::loop_ref loop, std::string address, const config::NameIndex& names, std::uint64_t since,
             net::Post post);
 
   void follow(const std::string& address);
@@ -48,7 +48,7 @@
 
   ev::loop_ref loop_;
   std::string address_;
-  const config::Names& names_;
+  const config::NameIndex& names_;
   std::uint64_t since_;
   net::Post post_;
   Stage stage_ = Stage::apart;
--- a/src/platform/engines.cpp
+++ b/src/platform/engines.cpp
@@ -9,8 +9,8 @@
 namespace bellstair::platform {
 namespace {
 using namespace std::chrono_literals;
-using core::AttemptEnd;
 using core::AttemptId;
+using core::AttemptOutcome;
 
 constexpr std::size_t kMostBody = std::size_t{64} * 1024;  // of any answer
 constexpr std::size_t kMostPage = 6000;
@@ -143,7 +143,7 @@
   const auto c = pool_.take_counts();
   if (calls == decltype(calls){} && ends == decltype(ends){} && c == net::Pool::Counts{}) return;
   const auto call = [&](End end) { return calls[static_cast<std::size_t>(end)]; };
-  const auto attempt = [&](AttemptEnd end) { return ends[static_cast<std::size_t>(end)]; };
+  const auto attempt = [&](AttemptOutcome end) { return ends[static_cast<std::size_t>(end)]; };
   std::fprintf(
       stderr,
       "bellstair: engines: %s; %zu dialled, %zu refused, %zu late, %zu cut off, %zu reused, %zu stale, %zu "
@@ -153,9 +153,10 @@
       "withdrawn\n",
       pool_.state().c_str(), c.dialled, c.refused, c.late, c.cut_off, c.reused, c.stale, c.broken, c.aged,
       c.evicted, c.starved, call(End::answered), call(End::unsent), call(End::broken), call(End::silent),
-      attempts_.size(), attempt(AttemptEnd::served), attempt(AttemptEnd::error),
-      attempt(AttemptEnd::turned_away), attempt(AttemptEnd::expired), attempt(AttemptEnd::not_connected),
-      attempt(AttemptEnd::reset), attempt(AttemptEnd::lost), attempt(AttemptEnd::withdrawn));
+      attempts_.size(), attempt(AttemptOutcome::served), attempt(AttemptOutcome::error),
+      attempt(AttemptOutcome::rejected), attempt(AttemptOutcome::expired),
+      attempt(AttemptOutcome::connect_failed), attempt(AttemptOutcome::connection_reset),
+      attempt(AttemptOutcome::query_dropped), attempt(AttemptOutcome::cancelled));
 }
 
 // ---- effects
@@ -167,7 +168,7 @@
   attempt.result.id = id;
   attempt.ticket = pool_.acquire(effect.engine, [this, id](Connection* connection) {
     const auto found = attempts_.find(id);
-    if (connection == nullptr) return end(id, AttemptEnd::not_connected);
+    if (connection == nullptr) return end(id, AttemptOutcome::connect_failed);
     found->second.connection = connection;
     found->second.stage = Stage::ready;
     connection->lost = [this, id, connection](bool) {
@@ -182,12 +183,12 @@
   const auto found = attempts_.find(effect.id);
   if (found == attempts_.end() || found->second.stage != Stage::ready) return;
   auto& attempt = found->second;
-  if (attempt.connection == nullptr) return end(effect.id, AttemptEnd::expired);
+  if (attempt.connection == nullptr) return end(effect.id, AttemptOutcome::expired);
   HttpHeaders headers;
   headers.emplace_back("X-Ticket", effect.ticket);
-  headers.emplace_back("X-Queue", class_names_.at(effect.cls));
-  headers.emplace_back("X-Max-Ms", std::to_string(std::max<std::int64_t>(1, effect.wait / 1ms)));
-  if (!effect.nonce.empty()) headers.emplace_back("X-Nonce", effect.nonce);
+  headers.emplace_back("X-Queue", class_names_.at(effect.class_index));
+  headers.emplace_back("X-Max-Ms", std::to_string(std::max<std::int64_t>(1, effect.timeout / 1ms)));
+  if (!effect.idempotency_key.empty()) headers.emplace_back("X-Nonce", effect.idempotency_key);
   if (effect.memory_mb >= 1)
     headers.emplace_back("Query-Memory", std::to_string(std::llround(effect.memory_mb)));
   headers.emplace_back("Query-Priority", std::to_string(effect.priority));
@@ -195,7 +196,7 @@
     // These engines take a statement as text: bound values become literals.
     const auto values = sql::unpack(effect.parameters);
     auto text = values ? sql::with_literals(effect.body, *values) : std::nullopt;
-    if (!text) return end(effect.id, AttemptEnd::error);
+    if (!text) return end(effect.id, AttemptOutcome::error);
     effect.body = std::move(*text);
   }
   attempt.stage = Stage::posted;
@@ -206,18 +207,18 @@
            kSilence, [this, id](End end, HttpAnswer& answer) { answered(id, end, answer); });
 }
 
-void Engines::run(const core::Abandon& effect) {
+void Engines::run(const core::CancelAttempt& effect) {
   const auto found = attempts_.find(effect.id);
   if (found == attempts_.end()) return;
   auto& attempt = found->second;
   switch (attempt.stage) {
     case Stage::waiting:
       pool_.withdraw(attempt.engine, attempt.ticket);
-      return end(effect.id, AttemptEnd::expired);
+      return end(effect.id, AttemptOutcome::expired);
     case Stage::ready:
       if (attempt.connection != nullptr) pool_.release(*attempt.connection);
       attempt.connection = nullptr;
-      return end(effect.id, AttemptEnd::expired);
+      return end(effect.id, AttemptOutcome::expired);
     case Stage::posted:
       // A DELETE on another connection could overtake the statement, which would then run unasked: the
       // engine's first word, at most 250 ms away, proves that it has come whole.
@@ -225,14 +226,14 @@
       if (attempt.connection->stream.unwritten() > 0) {
         pool_.discard(*attempt.connection);  // the engine never gets it whole
         calls_.erase(attempt.call);
-        return end(effect.id, AttemptEnd::withdrawn);
+        return end(effect.id, AttemptOutcome::cancelled);
       }
       patience_.arm(now_ + kAside, attempt.call);
       return;
     case Stage::paging:
-      return end(effect.id, AttemptEnd::withdrawn);  // it has ended there
+      return end(effect.id, AttemptOutcome::cancelled);  // it has ended there
     case Stage::polling:
-      return give_up(effect.id, AttemptEnd::withdrawn);
+      return give_up(effect.id, AttemptOutcome::cancelled);
     case Stage::leaving:
     case Stage::deleting:
       return;
@@ -242,7 +243,7 @@
 // Queries outlive their connections: until its engine has been told, this one may still run, and must not be
 // sent anywhere else. A call that broke off, or was not answered, may not have come: only an answer tells
 // that it has, or so long a time that the engine has ended the query unasked.
-void Engines::give_up(AttemptId id, AttemptEnd how) {
+void Engines::give_up(AttemptId id, AttemptOutcome how) {
   auto& attempt = attempts_.at(id);
   if (attempt.stage == Stage::deleting) return;
   attempt.stage = Stage::deleting;
@@ -253,15 +254,16 @@
 
 void Engines::tell(AttemptId id) {
   auto& attempt = attempts_.at(id);
-  attempt.ticket = aside(attempt.engine, http_call("DELETE", attempt.query, host(attempt.engine), {}, {}),
-                         kAside, [this, id](End how, HttpAnswer&) {
-                           const auto found = attempts_.find(id);
-                           if (found == attempts_.end()) return;
-                           if (how != End::answered) return tell_again_.arm(now_ + kTellPause, id);
-                           if (!believe_denial(found->second)) return tell_again_.arm(now_ + kInFlight, id);
-                           const auto given_up = found->second.given_up;
-                           end(id, given_up == AttemptEnd::reset ? AttemptEnd::lost : given_up);
-                         });
+  attempt.ticket = aside(
+      attempt.engine, http_call("DELETE", attempt.query, host(attempt.engine), {}, {}), kAside,
+      [this, id](End how, HttpAnswer&) {
+        const auto found = attempts_.find(id);
+        if (found == attempts_.end()) return;
+        if (how != End::answered) return tell_again_.arm(now_ + kTellPause, id);
+        if (!believe_denial(found->second)) return tell_again_.arm(now_ + kInFlight, id);
+        const auto given_up = found->second.given_up;
+        end(id, given_up == AttemptOutcome::connection_reset ? AttemptOutcome::query_dropped : given_up);
+      });
 }
 
 bool Engines::believe_denial(Attempt& attempt) const {
@@ -283,7 +285,7 @@
   release(*std::exchange(attempt.connection, nullptr));
 }
 
-void Engines::run(const core::Reprioritize& effect) {
+void Engines::run(const core::SetPriority& effect) {
   const auto found = attempts_.find(effect.id);
   if (found == attempts_.end()) return;
   auto& attempt = found->second;
@@ -298,28 +300,28 @@
   const auto engine = effect.engine;
   aside(engine, http_call("GET", "/-/gauges", host(engine), {}, {}), kAside,
         [this, engine](End end, HttpAnswer& answer) {
-          core::ProbeEnded probe{engine, heronwell::Result::served, {}};
+          core::ProbeEnded probe{engine, heronwell::AttemptStatus::served, {}};
           switch (end) {
             case End::answered:
-              if (answer.status != 200) probe.result = heronwell::Result::turned_away;
+              if (answer.status != 200) probe.status = heronwell::AttemptStatus::rejected;
               take_load(answer, probe.load);
               break;
             case End::not_connected:
-              probe.result = heronwell::Result::not_connected;
+              probe.status = heronwell::AttemptStatus::connect_failed;
               break;
             case End::unsent:
             case End::broken:
-              probe.result = heronwell::Result::reset;
+              probe.status = heronwell::AttemptStatus::connection_reset;
               break;
             case End::silent:
-              probe.result = heronwell::Result::timed_out;
+              probe.status = heronwell::AttemptStatus::timed_out;
               break;
           }
           post_(std::move(probe));
         });
 }
 
-void Engines::run(const core::EngineMoved& effect) {
+void Engines::run(const core::EngineUpdated& effect) {
   if (!effect.usable) {
     addresses_.erase(effect.engine);
     return pool_.retire(effect.engine);
@@ -343,12 +345,12 @@
     return let_go(attempt);
   }
   if (how != End::answered) {
-    if (posting && how == End::unsent) return end(id, AttemptEnd::expired);
+    if (posting && how == End::unsent) return end(id, AttemptOutcome::expired);
     // Once a byte of a statement has left, it may have run, and is never sent again from here. Neither
     // silence nor an answer that breaks off or can't be read tells whether it runs: the engine is asked for
     // its news.
     attempt.doubtful = attempt.doubtful || posting;
-    if (attempt.stage == Stage::leaving) return give_up(id, AttemptEnd::withdrawn);
+    if (attempt.stage == Stage::leaving) return give_up(id, AttemptOutcome::cancelled);
     attempt.stage = attempt.stage == Stage::posted ? Stage::polling : attempt.stage;
     return reconnect(id);
   }
@@ -356,40 +358,40 @@
   if (answer.status == 202) {
     attempt.reconnects = 0;
     attempt.doubtful = false;
-    if (attempt.stage == Stage::leaving) return give_up(id, AttemptEnd::withdrawn);
+    if (attempt.stage == Stage::leaving) return give_up(id, AttemptOutcome::cancelled);
     if (attempt.connection != nullptr && attempt.stage == Stage::polling &&
         now_ < attempt.asked_for_news + kSoonest)
       static_cast<HttpSession&>(*attempt.connection->session).doubled = true;
     attempt.stage = Stage::polling;
-    post_(core::AttemptHeard{id});
-    if (attempt.rank) run(core::Reprioritize{id, *std::exchange(attempt.rank, std::nullopt)});
+    post_(core::AttemptProgressed{id});
+    if (attempt.rank) run(core::SetPriority{id, *std::exchange(attempt.rank, std::nullopt)});
     return ask(id);
   }
   if (answer.status == 200) {
     if (!take_page(attempt, answer)) {
       // Spoilt on its way: the engine has it still, and gives it again. The connection is of no further use.
       if (attempt.connection != nullptr) pool_.discard(*std::exchange(attempt.connection, nullptr));
-      if (attempt.stage == Stage::leaving) return end(id, AttemptEnd::withdrawn);
+      if (attempt.stage == Stage::leaving) return end(id, AttemptOutcome::cancelled);
       if (attempt.stage == Stage::posted) attempt.stage = Stage::polling;
       return reconnect(id);
     }
     attempt.reconnects = 0;
-    if (attempt.next_page == attempt.pages) return end(id, AttemptEnd::served);
-    if (attempt.stage == Stage::leaving) return end(id, AttemptEnd::withdrawn);
+    if (attempt.next_page == attempt.pages) return end(id, AttemptOutcome::served);
+    if (attempt.stage == Stage::leaving) return end(id, AttemptOutcome::cancelled);
     attempt.stage = Stage::paging;
     return ask(id);
   }
   // Only the mark proves that nothing ran; whoever else writes a 503 proves nothing.
   const bool never_ran = answer.header("x-shed") == "1" && attempt.next_page == 0;
-  if (never_ran && answer.status == 503) return end(id, AttemptEnd::turned_away);
-  if (never_ran && answer.status == 504) return end(id, AttemptEnd::expired);
+  if (never_ran && answer.status == 503) return end(id, AttemptOutcome::rejected);
+  if (never_ran && answer.status == 504) return end(id, AttemptOutcome::expired);
   if (attempt.stage != Stage::paging && !believe_denial(attempt)) {
     attempt.reconnects = 0;
     let_go(attempt);
     return ask_again_.arm(now_ + kInFlight, id);
   }
   // An engine that does not know it may never have got it.
-  end(id, attempt.doubtful ? AttemptEnd::lost : AttemptEnd::error);
+  end(id, attempt.doubtful ? AttemptOutcome::query_dropped : AttemptOutcome::error);
 }
 
 bool Engines::take_page(Attempt& attempt, HttpAnswer& answer) {
@@ -401,7 +403,7 @@
     attempt.pages = static_cast<std::size_t>(pages);
     if (const auto cost = answer.number("query-cost"); cost && *cost >= 0 && *cost < 1e9)
       result.work = core::Time(static_cast<std::int64_t>(*cost * 1e6));
-    result.memory_mb = std::clamp(answer.number("query-need").value_or(0), 0.0, 1e9);
+    result.memory_needed_mb = std::clamp(answer.number("query-need").value_or(0), 0.0, 1e9);
   } else if (answer.number("result-page").value_or(-1) != static_cast<double>(attempt.next_page)) {
     return false;
   }
@@ -425,7 +427,7 @@
 // News and pages may be asked for again: asking does nothing to the query.
 void Engines::reconnect(AttemptId id) {
   auto& attempt = attempts_.at(id);
-  if (++attempt.reconnects > kReconnects) return give_up(id, AttemptEnd::reset);
+  if (++attempt.reconnects > kReconnects) return give_up(id, AttemptOutcome::connection_reset);
   pool_.acquire(attempt.engine, [this, id](Connection* connection) {
     const auto found = attempts_.find(id);
     const bool wanted = found != attempts_.end() &&
@@ -434,13 +436,13 @@
       if (connection != nullptr) pool_.release(*connection);
       return;
     }
-    if (connection == nullptr) return give_up(id, AttemptEnd::reset);
+    if (connection == nullptr) return give_up(id, AttemptOutcome::connection_reset);
     found->second.connection = connection;
     ask(id);
   });
 }
 
-void Engines::end(AttemptId id, AttemptEnd how) {
+void Engines::end(AttemptId id, AttemptOutcome how) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   auto attempt = std::move(found->second);
@@ -460,8 +462,8 @@
     }
   }
   ++attempt_ends_[static_cast<std::size_t>(how)];
-  attempt.result.end = how;
-  if (how != AttemptEnd::served) attempt.result.body.clear();
+  attempt.result.outcome = how;
+  if (how != AttemptOutcome::served) attempt.result.body.clear();
   post_(std::move(attempt.result));
 }
 
--- a/src/platform/engines.hpp
+++ b/src/platform/engines.hpp
@@ -24,10 +24,10 @@
 
   void run(const core::StartAttempt& effect) override;
   void run(core::Transmit& effect) override;
-  void run(const core::Abandon& effect) override;
-  void run(const core::Reprioritize& effect) override;
+  void run(const core::CancelAttempt& effect) override;
+  void run(const core::SetPriority& effect) override;
   void run(const core::ProbeEngine& effect) override;
-  void run(const core::EngineMoved& effect) override;
+  void run(const core::EngineUpdated& effect) override;
 
   void settle() override { pool_.settle(); }
   void tick(core::Time now) override;
@@ -50,7 +50,7 @@
     core::Time asked_for_news{};
     int reconnects = 0;  // in a row, without a good answer in between
     core::Time asked{};  // the engine may have heard a call for it until then
-    core::AttemptEnd given_up = core::AttemptEnd::withdrawn;  // how it ends once that is settled
+    core::AttemptOutcome given_up = core::AttemptOutcome::cancelled;  // how it ends once that is settled
     bool doubtful = false;  // nothing has proved yet that the statement has come
     core::Time denied{};    // its engine has first said so while it was doubtful: that it has no such query
     std::optional<std::uint8_t> rank;  // a priority to be told once the engine knows the query
@@ -71,9 +71,9 @@
   void ask(core::AttemptId id);  // for news, or for the next page
   void reconnect(core::AttemptId id);
   bool take_page(Attempt& attempt, HttpAnswer& answer);  // false: it is spoilt
-  void end(core::AttemptId id, core::AttemptEnd how);
+  void end(core::AttemptId id, core::AttemptOutcome how);
   // Ends it once the engine has been told, or has ended the query itself.
-  void give_up(core::AttemptId id, core::AttemptEnd how);
+  void give_up(core::AttemptId id, core::AttemptOutcome how);
   void tell(core::AttemptId id);
   // The engine says that it has no such query. False: that proves nothing yet, since the statement may be on
   // its way.
@@ -97,7 +97,7 @@
   std::uint64_t serial_ = 0;
   // Since the last report to the log: how calls have ended, and attempts.
   std::array<std::size_t, static_cast<std::size_t>(End::silent) + 1> call_ends_{};
-  std::array<std::size_t, static_cast<std::size_t>(core::AttemptEnd::withdrawn) + 1> attempt_ends_{};
+  std::array<std::size_t, static_cast<std::size_t>(core::AttemptOutcome::cancelled) + 1> attempt_ends_{};
   core::Time now_{}, reported_{};
 };
 
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -11,8 +11,8 @@
 constexpr core::Time kWhole = 2s, kLinger = 800ms;
 }  // namespace
 
-Front::Front(ev::loop_ref loop, net::Fd listening, const config::Names& names, std::size_t most_connections,
-             std::uint64_t& handles, std::function<bool()> green, Post post)
+Front::Front(ev::loop_ref loop, net::Fd listening, const config::NameIndex& names,
+             std::size_t most_connections, std::uint64_t& handles, std::function<bool()> green, Post post)
     : loop_(loop),
       names_(names),
       most_connections_(most_connections),
@@ -62,7 +62,7 @@
             // It may only have closed its side: what it has asked for is still owed.
             connection.ended = true;
             if (connection.open.empty() && connection.stream.unwritten() == 0) return close(connection);
-            for (const auto& [id, client] : connection.open) post_(core::ClientEnded{client});
+            for (const auto& [id, client] : connection.open) post_(core::ClientHalfClosed{client});
           },
       .closed = [this, &connection] { close(connection); },
       .drained =
@@ -97,7 +97,7 @@
 void Front::close(Connection& connection) {
   for (const auto& [id, client] : connection.open) {
     open_.erase(client);
-    post_(core::Cancelled{client});
+    post_(core::RequestCancelled{client});
   }
   connection.open.clear();
   partial_ -= std::exchange(connection.in, {}).size();
@@ -192,7 +192,7 @@
     connection.open[request.id] = client;
     open_[client] = {connection.serial, request.id, request.asked.ticket};
     request.asked.client = client;
-    post_(core::Arrived{std::move(request.asked)});
+    post_(core::RequestArrived{std::move(request.asked)});
   }
 }
 
@@ -210,7 +210,7 @@
     const auto client = found->second;
     connection.open.erase(found);
     open_.erase(client);
-    post_(core::Cancelled{client});
+    post_(core::RequestCancelled{client});
   }
   // An id that a request has had gets no answer: it would be a second one.
   if (own_id)
@@ -229,14 +229,14 @@
     case core::AnswerKind::served:
       connection.stream.write(rpc_result(open.id, answer.body));
       break;
-    case core::AnswerKind::refused:
-      connection.stream.write(rpc_error(open.id, kRpcRefused, "refused", answer.pause));
+    case core::AnswerKind::rejected:
+      connection.stream.write(rpc_error(open.id, kRpcRefused, "refused", answer.retry_after));
       break;
     case core::AnswerKind::failed:
-      connection.stream.write(rpc_error(open.id, kRpcFailed, "failed", answer.pause));
+      connection.stream.write(rpc_error(open.id, kRpcFailed, "failed", answer.retry_after));
       break;
     case core::AnswerKind::timed_out:
-      connection.stream.write(rpc_error(open.id, kRpcTimedOut, "timed out", answer.pause));
+      connection.stream.write(rpc_error(open.id, kRpcTimedOut, "timed out", answer.retry_after));
       break;
   }
   if (connection.open.empty() && connection.ended && connection.stream.unwritten() == 0) {
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -24,7 +24,7 @@
  public:
   using Post = std::function<void(core::Event)>;
   // Clients' handles are drawn from `handles`, which all fronts share.
-  Front(ev::loop_ref loop, net::Fd listening, const config::Names& names, std::size_t most_connections,
+  Front(ev::loop_ref loop, net::Fd listening, const config::NameIndex& names, std::size_t most_connections,
         std::uint64_t& handles, std::function<bool()> green, Post post);
 
   [[nodiscard]] const std::string& address() const { return address_; }
@@ -62,7 +62,7 @@
     core::Time since{};  // it was accepted, the line that is not whole began, or its last word was said
     Rank rank = Rank::stranger;
     std::list<Connection*>::iterator place;
-    std::unordered_map<std::uint64_t, core::Client> open;  // by the client's id
+    std::unordered_map<std::uint64_t, core::ClientHandle> open;  // by the client's id
     Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMostUnwritten) {}
   };
   struct Open {
@@ -86,7 +86,7 @@
 
   bool stopped_ = false;
   ev::loop_ref loop_;
-  const config::Names& names_;
+  const config::NameIndex& names_;
   std::size_t most_connections_;
   std::uint64_t& handles_;
   std::function<bool()> green_;
@@ -94,7 +94,7 @@
   std::string address_;  // where it listens
   std::optional<net::Listener> listener_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::unordered_map<core::Client, Open> open_;
+  std::unordered_map<core::ClientHandle, Open> open_;
   std::vector<std::unique_ptr<Connection>> gone_;
   std::array<std::list<Connection*>, 3> ranks_;  // by Rank, the one longest there in front
   core::TimerWheel<std::uint64_t> watches_{std::chrono::milliseconds(5)};
--- a/src/platform/jsonrpc.cpp
+++ b/src/platform/jsonrpc.cpp
@@ -58,16 +58,16 @@
   return value;
 }
 
-core::Submission submission(const json& params, core::ClassIndex cls, const config::Names& names) {
-  core::Submission out;
-  out.cls = cls;
+core::ClientRequest submission(const json& params, core::ClassIndex cls, const config::NameIndex& names) {
+  core::ClientRequest out;
+  out.class_index = cls;
   out.ticket = text(params, "txn", true);
   // It is part of a path too.
   if (out.ticket.size() != 16) throw Bad{"txn is not 16 hex digits"};
   hex(out.ticket, "txn");
   const auto limit = number(params, "limit", kMostLimitMs);
   if (!limit) throw Bad{"limit is missing"};
-  out.limit = core::Time(static_cast<std::int64_t>(*limit * 1e6));
+  out.timeout = core::Time(static_cast<std::int64_t>(*limit * 1e6));
   // Where there are tenants, nobody's share is used up by requests of no tenant.
   if (const auto team = text(params, "team", !names.tenants.empty()); !team.empty()) {
     const auto found = names.tenants.find(team);
@@ -75,12 +75,12 @@
     out.tenant = found->second;
   }
   if (const auto second = params.find("second"); second != params.end() && !second->is_null())
-    out.repeat = second->is_boolean() ? second->get<bool>() : !(second->is_number() && *second == 0);
-  out.nonce = text(params, "unique", false);
-  printable(out.nonce, "unique");
+    out.is_retry = second->is_boolean() ? second->get<bool>() : !(second->is_number() && *second == 0);
+  out.idempotency_key = text(params, "unique", false);
+  printable(out.idempotency_key, "unique");
   if (const auto cpu = number(params, "cpu", kMostCpuMs))
-    out.cost = core::Time(static_cast<std::int64_t>(*cpu * 1e6));
-  out.memory_mb = number(params, "ram", kMostRamMb).value_or(0);
+    out.estimated_work = core::Time(static_cast<std::int64_t>(*cpu * 1e6));
+  out.estimated_memory_mb = number(params, "ram", kMostRamMb).value_or(0);
   if (const auto item = text(params, "item", false); !item.empty()) out.order_key = hex(item, "item");
   auto body = from_base64(text(params, "data", true));
   if (!body) throw Bad{"data is not base64"};
@@ -97,7 +97,7 @@
 json id_of(std::optional<std::uint64_t> id) { return id ? json(*id) : json(nullptr); }
 }  // namespace
 
-RpcMessage parse_rpc(std::string_view in, const config::Names& names) {
+RpcMessage parse_rpc(std::string_view in, const config::NameIndex& names) {
   bool deep = false;  // what nests without end is dropped as it is read
   const auto shallow = [&deep](int depth, json::parse_event_t, json&) {
     deep = deep || depth > kMostDepth;
--- a/src/platform/jsonrpc.hpp
+++ b/src/platform/jsonrpc.hpp
@@ -14,7 +14,7 @@
 
 struct RpcRequest {
   std::uint64_t id = 0;
-  core::Submission asked;  // without its client
+  core::ClientRequest asked;  // without its client
 };
 struct RpcCancel {
   std::optional<std::uint64_t> id;  // of the call itself, if it wants an answer
@@ -35,7 +35,7 @@
 inline constexpr int kRpcFailed = -32069;
 inline constexpr int kRpcTimedOut = -32079;
 
-[[nodiscard]] RpcMessage parse_rpc(std::string_view line, const config::Names& names);
+[[nodiscard]] RpcMessage parse_rpc(std::string_view line, const config::NameIndex& names);
 [[nodiscard]] std::string rpc_result(std::uint64_t id, std::string_view body);
 [[nodiscard]] std::string rpc_health(std::uint64_t id, bool green);
 [[nodiscard]] std::string rpc_error(std::optional<std::uint64_t> id, int code, std::string_view message,
--- a/src/platform/peers.cpp
+++ b/src/platform/peers.cpp
@@ -13,7 +13,10 @@
 }
 
 Peers::Peers(ev::loop_ref loop, const config::Config& config, Post post)
-    : io_(loop), all_(net::parse_address(config.peers_all)), me_(config.settings.me), post_(std::move(post)) {
+    : io_(loop),
+      all_(net::parse_address(config.peers_all)),
+      me_(config.settings.gateway_index),
+      post_(std::move(post)) {
   for (const auto& peer : config.peers) peers_.push_back(net::parse_address(peer).value_or(sockaddr_in{}));
   const auto at = net::parse_address(config.peer_listen);
   if (!at) return;
@@ -27,7 +30,7 @@
   io_.start(fd_.get(), ev::READ);
 }
 
-void Peers::run(const core::TellPeers& effect) {
+void Peers::run(const core::SendToPeers& effect) {
   if (!fd_ || effect.bytes.size() > kMostBytes) return;
   const auto send = [&](const sockaddr_in& to) {
     ::sendto(fd_.get(), effect.bytes.data(), effect.bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL,
@@ -53,7 +56,8 @@
       if (n == me_ || peers_[n].sin_addr.s_addr != from.sin_addr.s_addr ||
           peers_[n].sin_port != from.sin_port)
         continue;
-      post_(core::PeerHeard{static_cast<std::uint32_t>(n), {buffer.data(), static_cast<std::size_t>(got)}});
+      post_(core::PeerMessageReceived{static_cast<std::uint32_t>(n),
+                                      {buffer.data(), static_cast<std::size_t>(got)}});
       break;
     }
   }
--- a/src/platform/peers.hpp
+++ b/src/platform/peers.hpp
@@ -16,7 +16,7 @@
  public:
   using Post = std::function<void(core::Event)>;
   Peers(ev::loop_ref loop, const config::Config& config, Post post);
-  void run(const core::TellPeers& effect);
+  void run(const core::SendToPeers& effect);
 
  private:
   void on_io(ev::io& watcher, int events);
--- a/src/plugin/admission.cpp
+++ b/src/plugin/admission.cpp
@@ -37,11 +37,11 @@
 struct Admission::State {
   Budget budget;
   lua_State* lua = nullptr;
-  const config::Names& names;
+  const config::NameIndex& names;
   core::Time time, most_pause;
   std::chrono::steady_clock::time_point until;
 
-  State(const config::Plugin& config, const config::Names& known, core::Time pause)
+  State(const config::Plugin& config, const config::NameIndex& known, core::Time pause)
       : names(known), time(config.time), most_pause(pause) {
     budget.most = config.memory;
     lua = lua_newstate(allocate, &budget);
@@ -120,7 +120,7 @@
   }
 
   struct Verdict {
-    const core::Submission* asked = nullptr;
+    const core::ClientRequest* asked = nullptr;
     std::optional<double> cpu, ram, second, later;
   };
 
@@ -153,16 +153,17 @@
       lua_pushnumber(lua, value);
       lua_setfield(lua, -2, name);
     };
-    text("class", names.class_names.at(asked.cls));
+    text("class", names.class_names.at(asked.class_index));
     for (const auto& [name, index] : names.tenants) {
       if (index == asked.tenant) text("tenant", name);
     }
     text("statement", asked.body);
-    number("limit", std::chrono::duration<double, std::milli>(asked.limit).count());
+    number("limit", std::chrono::duration<double, std::milli>(asked.timeout).count());
     number("group", static_cast<double>(asked.data_group));
-    if (asked.cost) number("cpu", std::chrono::duration<double, std::milli>(*asked.cost).count());
-    number("ram", asked.memory_mb);
-    lua_pushboolean(lua, asked.repeat ? 1 : 0);
+    if (asked.estimated_work)
+      number("cpu", std::chrono::duration<double, std::milli>(*asked.estimated_work).count());
+    number("ram", asked.estimated_memory_mb);
+    lua_pushboolean(lua, asked.is_retry ? 1 : 0);
     lua_setfield(lua, -2, "second");
     lua_call(lua, 1, 1);
     if (lua_isnil(lua, -1)) return 0;
@@ -175,7 +176,7 @@
   }
 };
 
-Admission::Admission(const config::Plugin& config, const config::Names& names, core::Time most_pause) {
+Admission::Admission(const config::Plugin& config, const config::NameIndex& names, core::Time most_pause) {
   std::ifstream in(config.script, std::ios::binary);
   std::ostringstream text;
   if (!in || !(text << in.rdbuf())) throw Unusable("plugin.script: cannot read '" + config.script + "'");
@@ -187,15 +188,15 @@
 
 Admission::~Admission() = default;
 
-std::string Admission::admit(core::Submission& asked) {
+std::string Admission::admit(core::ClientRequest& asked) {
   State::Verdict verdict;
   verdict.asked = &asked;
   if (const auto error = state_->guarded(State::call, &verdict); !error.empty()) return "plugin: " + error;
   const auto ms = [](double value) { return core::Time(static_cast<std::int64_t>(value * 1e6)); };
-  if (verdict.cpu) asked.cost = ms(*verdict.cpu);
-  if (verdict.ram) asked.memory_mb = *verdict.ram;
-  if (verdict.second) asked.repeat = *verdict.second != 0;
-  if (verdict.later) asked.barred = std::min(ms(*verdict.later), state_->most_pause);
+  if (verdict.cpu) asked.estimated_work = ms(*verdict.cpu);
+  if (verdict.ram) asked.estimated_memory_mb = *verdict.ram;
+  if (verdict.second) asked.is_retry = *verdict.second != 0;
+  if (verdict.later) asked.admission_retry_after = std::min(ms(*verdict.later), state_->most_pause);
   return {};
 }
 
--- a/src/plugin/admission.hpp
+++ b/src/plugin/admission.hpp
@@ -19,12 +19,12 @@
 class Admission {
  public:
   // Throws Unusable if the script can't be read, does not compile or defines no function `admit`.
-  Admission(const config::Plugin& config, const config::Names& names, core::Time most_pause);
+  Admission(const config::Plugin& config, const config::NameIndex& names, core::Time most_pause);
   ~Admission();
 
   // Calls admit(request). What it may change: the class-neutral labels `cpu`, `ram` and `second`; or it bars
   // the request. Returns what is to be logged, if anything.
-  [[nodiscard]] std::string admit(core::Submission& asked);
+  [[nodiscard]] std::string admit(core::ClientRequest& asked);
 
  private:
   struct State;
--- a/src/policy/cold_start.cpp
+++ b/src/policy/cold_start.cpp
@@ -4,7 +4,7 @@
 #include <ranges>
 #include <tuple>
 
-#include "policy/choice.hpp"
+#include "policy/gateway_impl.hpp"
 
 namespace heronwell {
 namespace {
@@ -14,52 +14,53 @@
 constexpr double kFullCapacity = 0.85;  // core-seconds a second for each core: what "capacity" stands for
 }  // namespace
 
-void Gateway::Choice::begin_cold(Engine& engine, Time since) {
-  engine.cold_since = since;
-  engine.broke = Time::zero();
-  engine.health = Health::well;
-  engine.errors = 0;
-  engine.pace = 1;
-  engine.rest = Time::zero();
+void Gateway::Impl::begin_cold(Engine& engine, Time since) {
+  engine.slow_start_since = since;
+  engine.connection_broken_at = Time::zero();
+  engine.health = Health::healthy;
+  engine.error_rate = 0;
+  engine.latency_ratio = 1;
+  engine.ejection_time = Time::zero();
 }
 
-bool Gateway::Choice::cold(const Engine& engine) const {
-  return engine.cold_since > Time::zero() && now_ < engine.cold_since + s_.ramp_time;
+bool Gateway::Impl::cold(const Engine& engine) const {
+  return engine.slow_start_since > Time::zero() && now_ < engine.slow_start_since + s_.slow_start_duration;
 }
 
 // Least share of its capacity an engine has had over the last `back`.
-double Gateway::Choice::warmth(const Engine& engine, Time back) const {
+double Gateway::Impl::warmth(const Engine& engine, Time back) const {
   if (!cold(engine)) return 1;
-  const double age = std::max(0.0, secs(now_ - engine.cold_since - back)) / secs(s_.ramp_time);
-  return s_.cold_from + (1 - s_.cold_from) * std::min(1.0, age);
+  const double age =
+      std::max(0.0, to_seconds(now_ - engine.slow_start_since - back)) / to_seconds(s_.slow_start_duration);
+  return s_.slow_start_initial_share + (1 - s_.slow_start_initial_share) * std::min(1.0, age);
 }
 
 // To the rule on cold engines each query weighs its class's usual work: a small one is charged no less.
-double Gateway::Choice::cold_work(const Request& request) const {
-  return work(request) * std::max(1.0, 1 / request.size);
+double Gateway::Impl::cold_work(const Request& request) const {
+  return work(request) * std::max(1.0, 1 / request.relative_size);
 }
 
 // An even share of what tips a cold engine over may hold no query, so gateways have turns at moments drawn
 // from their seeds, all together under a part of the whole; one not used is lost, so that none are saved
 // up.
-bool Gateway::Choice::cold_room(const Request& request, const Engine& engine) const {
-  if (s_.tip_multiple <= 0 || !cold(engine)) return true;
-  return now_ < engine.turn_until && cold_work(request) <= engine.turn_left;
+bool Gateway::Impl::cold_room(const Request& request, const Engine& engine) const {
+  if (s_.overload_multiple <= 0 || !cold(engine)) return true;
+  return now_ < engine.admission_until && cold_work(request) <= engine.admission_work_left;
 }
 
-double Gateway::Choice::heaviest() const {
-  return std::ranges::max_element(classes_, {}, &Class::work)->work;
+double Gateway::Impl::heaviest() const {
+  return std::ranges::max_element(classes_, {}, &ClassState::mean_work)->mean_work;
 }
 
-void Gateway::Choice::draw_turns(double passed) {
+void Gateway::Impl::draw_turns(double passed) {
   for (auto* engine : ready_) {
-    if (s_.tip_multiple <= 0 || !cold(*engine)) continue;
-    const double share = kTurnPart * s_.tip_multiple * warmth(*engine, s_.tip_window) * kFullCapacity *
-                         cores(*engine) / s_.gateways;  // core-seconds a second
-    const double work = std::max(heaviest(), share * secs(kTurn));
+    if (s_.overload_multiple <= 0 || !cold(*engine)) continue;
+    const double share = kTurnPart * s_.overload_multiple * warmth(*engine, s_.overload_window) *
+                         kFullCapacity * cores(*engine) / s_.gateways;  // core-seconds a second
+    const double work = std::max(heaviest(), share * to_seconds(kTurn));
     if (drawn() >= std::min(passed, kTurnStep) * share / work) continue;
-    engine->turn_until = now_ + kTurn;
-    engine->turn_left = work;
+    engine->admission_until = now_ + kTurn;
+    engine->admission_work_left = work;
     invited_.push_back(engine);
   }
 }
--- a/src/policy/control_loop.cpp
+++ b/src/policy/control_loop.cpp
@@ -4,7 +4,7 @@
 #include <ranges>
 #include <tuple>
 
-#include "policy/choice.hpp"
+#include "policy/gateway_impl.hpp"
 
 namespace heronwell {
 namespace {
@@ -24,17 +24,17 @@
 constexpr double kOwnMemory = 5.0;  // s, of the threads that run here
 }  // namespace
 
-bool Gateway::Choice::release_one(bool under_budget) {
+bool Gateway::Impl::release_one(bool under_budget) {
   for (const auto c : rank_) {
     auto& cls = classes_[c];
-    if (cls.queue.empty() || under_budget != (cls.running < cls.budget)) continue;
+    if (cls.queue.empty() || under_budget != (cls.running_threads < cls.thread_budget)) continue;
     if (release_head(cls)) return true;
   }
   return false;
 }
 
 // The first of the queue that may go; only those waiting for their key's turn are passed by.
-bool Gateway::Choice::release_head(Class& cls) {
+bool Gateway::Impl::release_head(ClassState& cls) {
   for (auto it = cls.queue.begin(); it != cls.queue.end(); ++it) {
     auto& request = requests_.at(*it);
     if (!in_turn(request)) continue;
@@ -46,73 +46,76 @@
   return false;
 }
 
-void Gateway::Choice::fill_budgets() {
+void Gateway::Impl::fill_budgets() {
   double left = pool_;
   for (const auto c : rank_) {
     auto& cls = classes_[c];
     const double least = s_.classes[c].threads;
-    cls.budget = std::max(least, std::min(std::clamp(cls.u, least, std::max(least, pool_)), left));
-    left = std::max(0.0, left - cls.budget);
+    cls.thread_budget =
+        std::max(least, std::min(std::clamp(cls.controller_output, least, std::max(least, pool_)), left));
+    left = std::max(0.0, left - cls.thread_budget);
   }
 }
 
 // A fleet slower than usual has passed its peak, wherever that lies with the mix of the day: fewer at once.
 // Not where priorities keep the short classes quick, nor where a gateway hears too little to tell.
-void Gateway::Choice::ease() {
+void Gateway::Impl::ease() {
   if (s_.priorities || few_) return;
-  ease_ = fleet_pace_ > kJamPace ? std::max(kLeastEase, ease_ * kEaseDown) : std::min(1.0, ease_ + kEaseUp);
+  ease_ = fleet_pace_ > kCongestedLatencyRatio ? std::max(kLeastEase, ease_ * kEaseDown)
+                                               : std::min(1.0, ease_ + kEaseUp);
 }
 
 // What the loop goes by in this period, and for what reasons queries were given up.
-void Gateway::Choice::report() {
+void Gateway::Impl::report() {
   const auto tenths = [](double value) { return std::to_string(value).substr(0, 4); };
   std::string said = "pool " + tenths(pool_) + " level " + tenths(level()) + " pace " + tenths(fleet_pace_);
   for (const auto c : rank_)
     said += "; " + s_.classes[c].name + " held " + std::to_string(classes_[c].queue.size()) + " running " +
-            std::to_string(classes_[c].running) + " budget " + tenths(classes_[c].budget) + " usual " +
-            tenths(classes_[c].usual) + " estimate " + tenths(classes_[c].estimate);
+            std::to_string(classes_[c].running_threads) + " budget " + tenths(classes_[c].thread_budget) +
+            " usual " + tenths(classes_[c].recent_latency) + " estimate " + tenths(classes_[c].mean_estimate);
   for (const auto& [why, count] : given_up_) said += "; " + std::to_string(count) + " " + why;
   given_up_.clear();
   put(Trace{said});
 }
 
-void Gateway::Choice::sample() {
+void Gateway::Impl::sample() {
   ease();
   for (auto* engine : ready_) {
-    if (!engine->slow || now_ <= engine->heard + kSlowLook) continue;
-    engine->pace = std::min(engine->pace, kSlow * std::max(1.0, fleet_pace_));
+    if (!engine->slow || now_ <= engine->last_response + kSlowLook) continue;
+    engine->latency_ratio =
+        std::min(engine->latency_ratio, kSlowEngineLatencyRatio * std::max(1.0, fleet_pace_));
     engine->slow = false;
     fleet_changed_ = true;
   }
   report();
-  const double all = pool();
-  const double wanted = sum(&Class::u);
+  const double all = total_thread_budget();
+  const double wanted = sum(&ClassState::controller_output);
   for (const auto c : rank_) {
     auto& cls = classes_[c];
-    const double aim = kWaitAim * secs(s_.classes[c].aim);
-    double waits = cls.waits, count = cls.released;
+    const double aim = kWaitAim * to_seconds(s_.classes[c].latency_target);
+    double waits = cls.wait_seconds, count = cls.released_queries;
     for (const auto id : cls.queue) {  // those still held must show
-      waits += secs(now_ - requests_.at(id).queued);
+      waits += to_seconds(now_ - requests_.at(id).queued_since);
       ++count;
     }
     const double error = std::max(-kMostError, (aim - (count > 0 ? waits / count : 0)) / aim);
-    const double before = wanted > all ? cls.budget : cls.u;
+    const double before = wanted > all ? cls.thread_budget : cls.controller_output;
     const double least = s_.classes[c].threads;
-    cls.u = std::clamp(before + kGain * kGainPool * all * (error - kZero * cls.error), least,
-                       std::max(least, all));
-    cls.error = error;
-    cls.waits = cls.released = 0;
+    cls.controller_output = std::clamp(
+        before + kGain * kGainPool * all * (error - kZero * cls.previous_error), least, std::max(least, all));
+    cls.previous_error = error;
+    cls.wait_seconds = cls.released_queries = 0;
   }
 }
 
-void Gateway::Choice::on(const Wake&) {
-  if (now_ < ticked_ + kTick) return;
-  const double passed = secs(now_ - ticked_);
+void Gateway::Impl::on(const TimerExpired&) {
+  if (now_ < ticked_ + kTimerInterval) return;
+  const double passed = to_seconds(now_ - ticked_);
   ticked_ = now_;
-  put(WakeAfter{kTick});
-  if (s_.ask_for_list && asked_again_ > Time::zero() && now_ >= asked_again_) {
+  put(SetTimer{kTimerInterval});
+  if (s_.membership_on_request && asked_again_ > Time::zero() && now_ >= asked_again_) {
     asked_again_ = Time::zero();
-    put(Observe{true});
+    put(WatchMembership{true});
   }
   fill_tokens(passed);
   own_threads_ += std::min(1.0, passed / kOwnMemory) * (running() - own_threads_);
@@ -124,19 +127,19 @@
   draw_turns(passed);
   tell_peers();
   if (now_ >= sampled_ + kPeriod) {
-    measure_rates(secs(now_ - sampled_));
+    measure_rates(to_seconds(now_ - sampled_));
     sampled_ = now_;
     sample();
   }
   forget_old();
 }
 
-double Gateway::Choice::share_rate(std::size_t t) const {
+double Gateway::Impl::share_rate(std::size_t t) const {
   return (crowded() ? 1 : kOverShareSlack) * s_.tenants[t].share * arrival_rate_;
 }
 
 // A flood must not raise the share it is measured against: the rate grows slowly, and not in a crowd.
-void Gateway::Choice::measure_rates(double passed) {
+void Gateway::Impl::measure_rates(double passed) {
   const double rate = fresh_arrivals_ / passed;
   rate_age_ = std::min(rate_age_ + passed, kRateMemory);
   const double most = crowded() ? arrival_rate_ : kRateGrowth * arrival_rate_ + 1 / passed;
@@ -145,9 +148,10 @@
   fresh_arrivals_ = 0;
 }
 
-void Gateway::Choice::fill_tokens(double passed) {
+void Gateway::Impl::fill_tokens(double passed) {
   for (std::size_t t = 0; t < tokens_.size(); ++t)
-    tokens_[t] = std::min(tokens_[t] + share_rate(t) * passed, share_rate(t) * kShareBurst + kShareLeast);
+    tokens_[t] =
+        std::min(tokens_[t] + share_rate(t) * passed, share_rate(t) * kShareBurstSeconds + kShareLeast);
 }
 
 }  // namespace heronwell
--- a/src/policy/engine_choice.cpp
+++ b/src/policy/engine_choice.cpp
@@ -4,7 +4,7 @@
 #include <ranges>
 #include <tuple>
 
-#include "policy/choice.hpp"
+#include "policy/gateway_impl.hpp"
 
 namespace heronwell {
 namespace {
@@ -27,7 +27,7 @@
 }  // namespace
 
 // Room within this gateway's share of the engine, or past it while the engine answers at its usual speed.
-bool Gateway::Choice::room(const Engine& engine, ClassIndex c) const {
+bool Gateway::Impl::room(const Engine& engine, ClassIndex c) const {
   const unsigned threads = s_.classes[c].threads;
   const double ease = ease_ * (c == rank_.front() ? 1 : few_ ? kLaterRanks : 1);
   if (cold(engine)) return true;  // its turns are fewer than its room
@@ -37,40 +37,41 @@
   // Where only answers tell of engines, a gateway held back goes on asking those it has long not heard of:
   // a query each, of the little that all gateways may send so.
   if (all && *all + 0.5 * threads > kTopCrowd * ease * size)
-    return level_ < 0 && engine.threads == 0 && secs(now_ - engine.reported) > kReportLife &&
+    return level_ < 0 && engine.threads == 0 &&
+           to_seconds(now_ - engine.last_load_report) > kReportDecaySeconds &&
            running() + threads <= kUnheardPart * pool_;
   // A slow engine is still sent something by each gateway: its pace would never be seen to change.
   const double swift = size / slowness(engine);
   if (own <= kThreadsPerCore * swift / s_.gateways || engine.threads == 0) return true;
   if (own > kThreadsPerCore * swift) return false;
-  if (all) return *all + 0.5 * threads <= kPassCrowd * ease * swift;
-  return engine.pace <= kUsualSpeed * std::max(1.0, std::min(fleet_pace_, 1.2));
+  if (all) return *all + 0.5 * threads <= kBorrowingLoadLimit * ease * swift;
+  return engine.latency_ratio <= kUsualSpeed * std::max(1.0, std::min(fleet_pace_, 1.2));
 }
 
 // A load of the group is out there: another would stand still behind it.
-bool Gateway::Choice::loads(std::int64_t group, const Engine& engine) const {
-  return std::ranges::any_of(engine.out, [&](const auto& out) {
+bool Gateway::Impl::loads(std::int64_t group, const Engine& engine) const {
+  return std::ranges::any_of(engine.in_flight, [&](const auto& out) {
     const auto& other = requests_.at(out.first);
-    return set(other).holds_group && other.asked.data_group == group;
+    return set(other).locks_data_group && other.arrival.data_group == group;
   });
 }
 
-double Gateway::Choice::crowding(const Request& request, Engine& engine) {
+double Gateway::Impl::crowding(const Request& request, Engine& engine) {
   const auto& set = this->set(request);
   // Reports are late and every gateway reads the same: by them alone all would run to one engine at once.
   const double own = engine.threads * std::min<double>(s_.gateways, kOwnTimes);
   const double all = kOwnPart * own + (1 - kOwnPart) * all_threads(engine).value_or(own);
   double score = (all + set.threads) * slowness(engine) / (cores(engine) * warmth(engine, 0s));
-  if (engine.entry.zone != s_.zone) score += kFarZone * s_.price_cross_zone;
-  if (!readers_wait_ && home(request.asked.data_group, engine)) score -= kWarmHome;
-  if (set.waits_for_group && home(request.asked.data_group, engine)) score += kHomeKeepOff;
-  if (set.holds_group && loads(request.asked.data_group, engine)) score += kSameLoad;
+  if (engine.entry.zone != s_.zone) score += kFarZone * s_.cross_zone_cost;
+  if (!readers_wait_ && home(request.arrival.data_group, engine)) score -= kWarmHome;
+  if (set.waits_for_data_group && home(request.arrival.data_group, engine)) score += kHomeKeepOff;
+  if (set.locks_data_group && loads(request.arrival.data_group, engine)) score += kSameLoad;
   const auto there = [&](const Attempt& a) { return a.engine == engine.entry.engine; };
   return std::ranges::any_of(request.attempts, there) ? score + kSameAgain : score;
 }
 
 // All gateways order engines alike for a group, by ids: its loads go to the first, its readers stay away.
-const std::vector<Engine*>& Gateway::Choice::homes(std::int64_t group) {
+const std::vector<Engine*>& Gateway::Impl::homes(std::int64_t group) {
   auto& homes = homes_[group];
   if (homes.empty()) {
     for (auto* engine : ready_) {
@@ -79,7 +80,7 @@
     const auto count = std::min(homes.size(), std::max(kHomes, ready_.size() / kHomePart));
     // A load holds its group for as long as it runs: slow engines come last.
     const auto order = [group](const Engine* engine) {
-      return std::pair(engine->slow, spread(group, engine->entry.engine));
+      return std::pair(engine->slow, rendezvous_hash(group, engine->entry.engine));
     };
     std::ranges::partial_sort(homes, homes.begin() + static_cast<std::ptrdiff_t>(count), {}, order);
     homes.resize(count);
@@ -87,43 +88,45 @@
   return homes;
 }
 
-bool Gateway::Choice::home(std::int64_t group, Engine& engine) {
+bool Gateway::Impl::home(std::int64_t group, Engine& engine) {
   return std::ranges::count(homes(group), &engine) > 0;
 }
 
 // All of a small fleet; of a large one those of the newest reports and a few drawn, at a cost that does not
 // grow with the fleet.
-const std::vector<Engine*>& Gateway::Choice::candidates(const Request& request) {
-  if (readers_wait_ && set(request).holds_group) return homes(request.asked.data_group);
-  if (ready_.size() <= kLooks) return ready_;
+const std::vector<Engine*>& Gateway::Impl::candidates(const Request& request) {
+  if (readers_wait_ && set(request).locks_data_group) return homes(request.arrival.data_group);
+  if (ready_.size() <= kMaxCandidates) return ready_;
   compared_.clear();
   ++look_;
   const auto add = [this](Engine* engine) {
-    if (engine->looked != look_ && engine->ready) compared_.push_back(engine);
-    engine->looked = look_;
+    if (engine->last_selection_round != look_ && engine->ready) compared_.push_back(engine);
+    engine->last_selection_round = look_;
   };
-  std::erase_if(invited_, [this](const Engine* engine) { return now_ >= engine->turn_until; });
+  std::erase_if(invited_, [this](const Engine* engine) { return now_ >= engine->admission_until; });
   for (auto* engine : invited_) add(engine);
   for (std::size_t i = 0; i < kDraws; ++i) add(ready_[random_() % ready_.size()]);
   if (!readers_wait_) {
-    const auto& near = homes(request.asked.data_group);
+    const auto& near = homes(request.arrival.data_group);
     if (!near.empty()) add(near[random_() % near.size()]);
   }
   for (const auto& [at, engine] : recent_) {
-    if (now_ < at + kFresh) add(engine);
+    if (now_ < at + kMaxReportAge) add(engine);
   }
   return compared_;
 }
 
-Engine* Gateway::Choice::pick(Request& request) {
+Engine* Gateway::Impl::pick(Request& request) {
   Engine* best = nullptr;
   double least = 0;
   const auto& engines = candidates(request);
   if (look(request, engines)) return nullptr;
   for (auto* engine : engines) {
-    const auto there = [&](const Attempt& a) { return a.awaited() && a.engine == engine->entry.engine; };
-    if (!healthy(request, *engine) || !room(*engine, request.asked.cls) || !may_send(request, *engine) ||
-        std::ranges::any_of(request.attempts, there))
+    const auto there = [&](const Attempt& a) {
+      return a.awaiting_result() && a.engine == engine->entry.engine;
+    };
+    if (!healthy(request, *engine) || !room(*engine, request.arrival.class_index) ||
+        !may_send(request, *engine) || std::ranges::any_of(request.attempts, there))
       continue;
     const double score = crowding(request, *engine) + (kLeastBlur + kBlur * (1 - trust())) * drawn();
     if (best == nullptr || score < least) std::tie(best, least) = std::tuple(engine, score);
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -4,7 +4,7 @@
 #include <ranges>
 #include <tuple>
 
-#include "policy/choice.hpp"
+#include "policy/gateway_impl.hpp"
 
 namespace heronwell {
 namespace {
@@ -12,9 +12,9 @@
 constexpr double kMostSlow = 6.0;  // times slower than the fleet that an engine counts for at most
 }  // namespace
 
-void Gateway::Choice::on(const Listing& list) {
-  if (list.kind == ListKind::failed) asked_again_ = now_ + 1s;
-  if (list.kind == ListKind::full || list.kind == ListKind::cached) {
+void Gateway::Impl::on(const MembershipUpdate& list) {
+  if (list.kind == MembershipUpdateKind::failed) asked_again_ = now_ + 1s;
+  if (list.kind == MembershipUpdateKind::full || list.kind == MembershipUpdateKind::cached) {
     for (auto& [id, engine] : engines_) engine.ready = false;
   }
   for (const auto& entry : list.engines) {
@@ -27,12 +27,12 @@
 }
 
 // What is summed over the fleet, made anew only when the list or an engine's health has changed.
-void Gateway::Choice::refresh() {
+void Gateway::Impl::refresh() {
   fleet_changed_ = false;
   ready_.clear();
   homes_.clear();
   pool_ = cores_ = 0;
-  const auto gone = [](const Engine* engine) { return !engine->ready && engine->out.empty(); };
+  const auto gone = [](const Engine* engine) { return !engine->ready && engine->in_flight.empty(); };
   std::erase_if(recent_, [&](const auto& report) { return gone(report.second); });
   std::erase_if(invited_, gone);
   std::erase_if(engines_, [&](const auto& entry) { return gone(&entry.second); });
@@ -45,13 +45,13 @@
   few_ = pool_ < kFewQueries * widest_;
 }
 
-double Gateway::Choice::cores(const Engine& engine) const { return s_.kinds[engine.entry.kind].cores; }
+double Gateway::Impl::cores(const Engine& engine) const { return s_.kinds[engine.entry.kind].cores; }
 
 // An engine that answers far slower than the others, as when another program takes a part of it, has that
 // much less room. Reports of its memory and disks do not show it.
-double Gateway::Choice::slowness(const Engine& engine) const {
-  const double times = engine.pace / std::max(1.0, fleet_pace_);
-  return times <= kSlow ? 1 : std::min(times, kMostSlow);
+double Gateway::Impl::slowness(const Engine& engine) const {
+  const double times = engine.latency_ratio / std::max(1.0, fleet_pace_);
+  return times <= kSlowEngineLatencyRatio ? 1 : std::min(times, kMostSlow);
 }
 
 }  // namespace heronwell
--- a/src/policy/choice.hpp
+++ b/src/policy/gateway_impl.hpp
@@ -13,12 +13,12 @@
 
 namespace heronwell {
 
-class Gateway::Choice {
+class Gateway::Impl {
  public:
-  Choice(Settings settings, std::uint64_t seed);
+  Impl(Settings settings, std::uint64_t seed);
   void handle(Time now, const std::vector<Event>& events, std::vector<Action>& out);
-  [[nodiscard]] ClassView view(ClassIndex c) const;
-  [[nodiscard]] double pool() const;
+  [[nodiscard]] ClassStats class_stats(ClassIndex c) const;
+  [[nodiscard]] double total_thread_budget() const;
 
  private:
   // gateway.cpp
@@ -28,7 +28,7 @@
   void trace(const Engine& engine, const char* what);
 
   // fleet.cpp
-  void on(const Listing& list);
+  void on(const MembershipUpdate& list);
   void refresh();
   double cores(const Engine& engine) const;
   double slowness(const Engine& engine) const;
@@ -56,7 +56,7 @@
   bool over_share(const Arrival& asked) const;
 
   // requests.cpp
-  void on(const ClientLeft& left);
+  void on(const RequestCancelled& left);
   Request* find(RequestId id);
   void finish(Request& request, const char* why);
   void close(Request& request);
@@ -80,22 +80,22 @@
   double grant(const Request& request) const;
   std::uint8_t priority(const Request& request) const;
   bool transmit(Request& request, Engine& engine);
-  void on(const Outcome& outcome);
+  void on(const AttemptResult& outcome);
   void again(Request& request);
   bool at_fault(const Request& request) const;
   void rescue(RequestId id, std::size_t n);
   void copy(RequestId id, std::size_t n);
 
   // health.cpp
-  void judge(Engine& engine, const Request& request, const Outcome& outcome);
+  void judge(Engine& engine, const Request& request, const AttemptResult& outcome);
   void alive(Engine& engine, Time at);
-  void judge_served(Engine& engine, const Request& request, const Outcome& outcome);
-  static void learn_base(Class& cls, double took);
+  void judge_served(Engine& engine, const Request& request, const AttemptResult& outcome);
+  static void learn_base(ClassState& cls, double took);
   void judge_failed(Engine& engine, double step);
   void rest(Engine& engine, const char* why);
   bool rested(const Engine& engine) const;
   void watch(Engine& engine);
-  void on(const Note& note);
+  void on(const ProgressReport& note);
   bool healthy(const Request& request, Engine& engine) const;
 
   // load_reports.cpp
@@ -131,24 +131,24 @@
 
   // control_loop.cpp
   bool release_one(bool under_budget);
-  bool release_head(Class& cls);
+  bool release_head(ClassState& cls);
   void fill_budgets();
   void ease();
   void report();
   void sample();
-  void on(const Wake&);
+  void on(const TimerExpired&);
   double share_rate(std::size_t t) const;
   void measure_rates(double passed);
   void fill_tokens(double passed);
 
   Settings s_;
   std::mt19937_64 random_;
-  std::vector<Class> classes_;
+  std::vector<ClassState> classes_;
   std::vector<ClassIndex> rank_;
   std::map<EngineId, Engine> engines_;
   std::map<RequestId, Request> requests_;  // open, or with an attempt still out
   std::set<std::pair<Time, RequestId>> deadlines_;
-  KeyTurns turns_;
+  KeyOrder turns_;
   std::deque<Time> taken_, further_;
   std::map<std::uint32_t, std::pair<Time, std::map<EngineId, unsigned>>> peers_;
   std::vector<double> tokens_;                       // by tenant
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -4,7 +4,7 @@
 #include <ranges>
 #include <tuple>
 
-#include "policy/choice.hpp"
+#include "policy/gateway_impl.hpp"
 
 namespace heronwell {
 namespace {
@@ -25,137 +25,147 @@
 constexpr double kMedianStep = 0.1;   // of the typical answer time that one answer moves it by
 }  // namespace
 
-void Gateway::Choice::judge(Engine& engine, const Request& request, const Outcome& outcome) {
-  const auto result = outcome.result;
-  if (result == Result::served) return judge_served(engine, request, outcome);
+void Gateway::Impl::judge(Engine& engine, const Request& request, const AttemptResult& outcome) {
+  const auto result = outcome.status;
+  if (result == AttemptStatus::served) return judge_served(engine, request, outcome);
   // The statement may be at fault. Where another engine can be asked, its answer tells.
-  if (result == Result::error && set(request).effect != Effect::unsafe) return;
-  if (result == Result::error) return judge_failed(engine, kErrorStep);
+  if (result == AttemptStatus::error && set(request).idempotency != Idempotency::unsafe) return;
+  if (result == AttemptStatus::error) return judge_failed(engine, kErrorRateWeight);
   // Its engine lives: what broke the connection may break any engine's, and no process has begun anew.
-  if (result == Result::lost) return judge_failed(engine, kErrorStep);
-  if (result == Result::turned_away && level() < 0) return rest(engine, "is full");
-  if (result == Result::turned_away)
-    return take_report(engine, kCrowdAtFull * cores(engine), engine.heard = now_);
-  if (result != Result::not_connected && result != Result::reset) return;
+  if (result == AttemptStatus::query_dropped) return judge_failed(engine, kErrorRateWeight);
+  if (result == AttemptStatus::rejected && level() < 0) return rest(engine, "is full");
+  if (result == AttemptStatus::rejected)
+    return take_report(engine, kCrowdAtFull * cores(engine), engine.last_response = now_);
+  if (result != AttemptStatus::connect_failed && result != AttemptStatus::connection_reset) return;
   // Its process may have ended, and begin anew before any list tells.
-  if (engine.broke == Time::zero()) engine.cold_before = engine.cold_since;
-  engine.cold_since = now_;
-  engine.broke = result == Result::reset ? now_ : Time::zero();
-  if (result == Result::not_connected) return rest(engine, "takes no connections");
-  judge_failed(engine, ask(engine) ? kErrorStep : 2 * kErrorStep);
+  if (engine.connection_broken_at == Time::zero()) engine.previous_slow_start_since = engine.slow_start_since;
+  engine.slow_start_since = now_;
+  engine.connection_broken_at = result == AttemptStatus::connection_reset ? now_ : Time::zero();
+  if (result == AttemptStatus::connect_failed) return rest(engine, "takes no connections");
+  judge_failed(engine, ask(engine) ? kErrorRateWeight : 2 * kErrorRateWeight);
 }
 
-void Gateway::Choice::alive(Engine& engine, Time at) {
-  if (engine.broke == Time::zero() || at <= engine.broke) return;
-  if (at <= engine.broke + kAliveSoon) engine.cold_since = engine.cold_before;
-  engine.broke = Time::zero();
+void Gateway::Impl::alive(Engine& engine, Time at) {
+  if (engine.connection_broken_at == Time::zero() || at <= engine.connection_broken_at) return;
+  if (at <= engine.connection_broken_at + kAliveSoon)
+    engine.slow_start_since = engine.previous_slow_start_since;
+  engine.connection_broken_at = Time::zero();
 }
 
-void Gateway::Choice::judge_served(Engine& engine, const Request& request, const Outcome& outcome) {
-  const auto c = request.asked.cls;
+void Gateway::Impl::judge_served(Engine& engine, const Request& request, const AttemptResult& outcome) {
+  const auto c = request.arrival.class_index;
   auto& cls = classes_[c];
-  engine.heard = now_;
+  engine.last_response = now_;
   alive(engine, now_);
-  engine.errors -= kErrorStep * engine.errors;
+  engine.error_rate -= kErrorRateWeight * engine.error_rate;
   fleet_errors_ -= kFleetErrors * fleet_errors_;
   for (const auto& attempt : request.attempts) {
     const auto failed = engines_.find(attempt.engine);
-    if (attempt.result == Result::error && !attempt.out && failed != engines_.end() &&
+    if (attempt.status == AttemptStatus::error && !attempt.in_flight && failed != engines_.end() &&
         &failed->second != &engine)
-      judge_failed(failed->second, kErrorStep);
+      judge_failed(failed->second, kErrorRateWeight);
   }
-  if (engine.health == Health::trial) {
-    engine.health = Health::well;
-    engine.rest = Time::zero();
+  if (engine.health == Health::half_open) {
+    engine.health = Health::healthy;
+    engine.ejection_time = Time::zero();
     fleet_changed_ = true;
     trace(engine, "answers again");
   }
-  const double took = secs(outcome.latency);
+  const double took = to_seconds(outcome.latency);
   const double threads = s_.classes[c].threads;
-  cls.usual += 0.05 * (took - cls.usual);
-  cls.typical *= took > foretold(request) ? 1 + kMedianStep : 1 - kMedianStep;
-  if (s_.grants && outcome.work) {
-    cls.memory += (cls.memory > 0 ? 0.05 : 1) * (outcome.memory_mb - cls.memory);
-    const double told = request.asked.memory_mb;
-    if (told > 0) cls.memory_told += (cls.memory_told > 0 ? 0.05 : 1) * (told - cls.memory_told);
+  cls.recent_latency += 0.05 * (took - cls.recent_latency);
+  cls.median_latency *= took > foretold(request) ? 1 + kMedianStep : 1 - kMedianStep;
+  if (s_.memory_reservations && outcome.work) {
+    cls.mean_memory_needed +=
+        (cls.mean_memory_needed > 0 ? 0.05 : 1) * (outcome.memory_needed_mb - cls.mean_memory_needed);
+    const double told = request.arrival.estimated_memory_mb;
+    if (told > 0)
+      cls.mean_memory_estimated +=
+          (cls.mean_memory_estimated > 0 ? 0.05 : 1) * (told - cls.mean_memory_estimated);
   }
-  const double work = outcome.work ? secs(*outcome.work) : took * threads;
-  cls.work += 0.05 * (work / request.size - cls.work);  // of all asked, though large ones go unserved
+  const double work = outcome.work ? to_seconds(*outcome.work) : took * threads;
+  cls.mean_work +=
+      0.05 * (work / request.relative_size - cls.mean_work);  // of all asked, though large ones go unserved
   // Where the work is told, an answer's own length is taken out of its pace.
-  const double measure = took / (outcome.work ? std::max(0.02, work / threads) : cls.base);
+  const double measure = took / (outcome.work ? std::max(0.02, work / threads) : cls.baseline_latency);
   learn_base(cls, took);
   fleet_pace_ += kFleetStep * (std::clamp(measure, 0.2, 8.0) - fleet_pace_);
-  engine.pace += kPaceStep * (std::clamp(measure, 0.2, 8.0) - engine.pace);
+  engine.latency_ratio += kPaceStep * (std::clamp(measure, 0.2, 8.0) - engine.latency_ratio);
   const bool slow = slowness(engine) > 1;
   fleet_changed_ = fleet_changed_ || slow != engine.slow;
   engine.slow = slow;
 }
 
 // Falls quickly and rises slowly, so that a jam is not soon taken for usual.
-void Gateway::Choice::learn_base(Class& cls, double took) {
-  cls.block += took;
-  if (++cls.blocked < 10) return;
-  const double mean = cls.block / cls.blocked;
-  cls.base += (mean < cls.base ? 0.5 : 0.05) * (mean - cls.base);
-  cls.block = cls.blocked = 0;
+void Gateway::Impl::learn_base(ClassState& cls, double took) {
+  cls.baseline_batch_sum += took;
+  if (++cls.baseline_batch_count < 10) return;
+  const double mean = cls.baseline_batch_sum / cls.baseline_batch_count;
+  cls.baseline_latency += (mean < cls.baseline_latency ? 0.5 : 0.05) * (mean - cls.baseline_latency);
+  cls.baseline_batch_sum = cls.baseline_batch_count = 0;
 }
 
 // Engines that error at once look fast and roomy.
-void Gateway::Choice::judge_failed(Engine& engine, double step) {
-  engine.errors += step * (1 - engine.errors);
+void Gateway::Impl::judge_failed(Engine& engine, double step) {
+  engine.error_rate += step * (1 - engine.error_rate);
   fleet_errors_ += kFleetErrors * (1 - fleet_errors_);
-  if (engine.health == Health::trial || engine.errors >= std::min(0.95, kErrorTop + kAlike * fleet_errors_))
+  if (engine.health == Health::half_open ||
+      engine.error_rate >= std::min(0.95, kErrorTop + kAlike * fleet_errors_))
     rest(engine, "fails its queries");
 }
 
-void Gateway::Choice::rest(Engine& engine, const char* why) {
-  if (engine.health == Health::resting) return;
-  if (engine.health == Health::well) trace(engine, why);
-  engine.health = Health::resting;
+void Gateway::Impl::rest(Engine& engine, const char* why) {
+  if (engine.health == Health::ejected) return;
+  if (engine.health == Health::healthy) trace(engine, why);
+  engine.health = Health::ejected;
   fleet_changed_ = true;
-  engine.rest = engine.rest > Time::zero() ? std::min(2 * engine.rest, kMostRest) : kFirstRest;
-  engine.rest_until = now_ + span(secs(engine.rest) * (0.5 + drawn()));
-  for (const auto& [id, n] : std::vector(engine.out.begin(), engine.out.end())) rescue(id, n);
+  engine.ejection_time =
+      engine.ejection_time > Time::zero() ? std::min(2 * engine.ejection_time, kMostRest) : kFirstRest;
+  engine.ejected_until = now_ + from_seconds(to_seconds(engine.ejection_time) * (0.5 + drawn()));
+  for (const auto& [id, n] : std::vector(engine.in_flight.begin(), engine.in_flight.end())) rescue(id, n);
 }
 
-bool Gateway::Choice::rested(const Engine& engine) const { return engine.health == Health::resting; }
+bool Gateway::Impl::rested(const Engine& engine) const { return engine.health == Health::ejected; }
 
 // Where notes are promised, an attempt without its note is lost, its engine too if it gave no other word.
-void Gateway::Choice::watch(Engine& engine) {
-  const Time quiet = now_ - engine.heard;
+void Gateway::Impl::watch(Engine& engine) {
+  const Time quiet = now_ - engine.last_response;
   double overdue = 0;
-  for (const auto& [id, n] : std::vector(engine.out.begin(), engine.out.end())) {
+  for (const auto& [id, n] : std::vector(engine.in_flight.begin(), engine.in_flight.end())) {
     copy(id, n);
     const auto& request = requests_.at(id);
     const auto& attempt = request.attempts[n];
-    if (s_.progress_pace == Time::zero()) {
+    if (s_.progress_interval == Time::zero()) {
       const Time age = std::min(quiet, now_ - attempt.sent);
-      overdue += std::min(secs(age) / classes_[request.asked.cls].usual, kSilentEach);
-    } else if (now_ - attempt.heard > kNoteGap * s_.progress_pace && attempt.awaited()) {
-      quiet > kNoteGap* s_.progress_pace ? rest(engine, "is silent") : rescue(id, n);
+      overdue +=
+          std::min(to_seconds(age) / classes_[request.arrival.class_index].recent_latency, kSilentEach);
+    } else if (now_ - attempt.last_report > kNoteGap * s_.progress_interval && attempt.awaiting_result()) {
+      quiet > kNoteGap* s_.progress_interval ? rest(engine, "is silent") : rescue(id, n);
     }
   }
   if (quiet > kSilentLeast && overdue > kSilentAnswers) rest(engine, "is silent");
 }
 
-void Gateway::Choice::on(const Note& note) {
+void Gateway::Impl::on(const ProgressReport& note) {
   const auto at = engines_.find(note.engine);
   auto* request = find(note.request);
-  if (at != engines_.end()) at->second.heard = now_;
+  if (at != engines_.end()) at->second.last_response = now_;
   if (request == nullptr || note.attempt >= request->attempts.size()) return;
-  request->attempts[note.attempt].heard = now_;
-  const double age = secs(now_ - request->attempts[note.attempt].sent);
+  request->attempts[note.attempt].last_report = now_;
+  const double age = to_seconds(now_ - request->attempts[note.attempt].sent);
   // A bad plan, or an engine far too slow: what is left takes longer than to begin anew elsewhere.
-  const bool slow = note.kind == NoteKind::progress && note.attempt == 0 && age > secs(kPlanLook) &&
-                    age / std::max(note.amount, 0.005) >
-                        kBadPlan * std::max(1.0, request->size) * classes_[request->asked.cls].usual;
-  if (slow || (note.kind == NoteKind::waiting && note.amount > 1.5)) rescue(note.request, note.attempt);
+  const bool slow =
+      note.kind == ProgressKind::progress && note.attempt == 0 && age > to_seconds(kPlanLook) &&
+      age / std::max(note.value, 0.005) > kBadPlan * std::max(1.0, request->relative_size) *
+                                              classes_[request->arrival.class_index].recent_latency;
+  if (slow || (note.kind == ProgressKind::waiting && note.value > 1.5)) rescue(note.request, note.attempt);
 }
 
-bool Gateway::Choice::healthy(const Request& request, Engine& engine) const {
-  if (engine.health == Health::well) return true;
-  if (engine.health == Health::resting && now_ >= engine.rest_until) engine.health = Health::trial;
-  return engine.health == Health::trial && engine.queries == 0 && set(request).effect == Effect::safe;
+bool Gateway::Impl::healthy(const Request& request, Engine& engine) const {
+  if (engine.health == Health::healthy) return true;
+  if (engine.health == Health::ejected && now_ >= engine.ejected_until) engine.health = Health::half_open;
+  return engine.health == Health::half_open && engine.queries == 0 &&
+         set(request).idempotency == Idempotency::safe;
 }
 
 }  // namespace heronwell
--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -4,7 +4,7 @@
 #include <ranges>
 #include <tuple>
 
-#include "policy/choice.hpp"
+#include "policy/gateway_impl.hpp"
 
 namespace heronwell {
 namespace {
@@ -25,7 +25,7 @@
 constexpr double kColdLevel = 0.5;  // of the fleet's level, that turns are taken to bring an engine to
 }  // namespace
 
-void Gateway::Choice::take_load(Engine& engine, const std::vector<double>& load) {
+void Gateway::Impl::take_load(Engine& engine, const std::vector<double>& load) {
   if (load.empty() || load.size() > s_.load_fields.size()) return;
   double threads = -1;
   for (std::size_t i = 0; i < load.size(); ++i) {
@@ -34,10 +34,10 @@
     if (s_.load_fields[i] == LoadField::util && threads < 0)
       threads = load[i] * kThreadsAtFull * cores(engine);
   }
-  if (threads >= 0) take_told(engine, threads, std::max(engine.reported, now_ - away_));
+  if (threads >= 0) take_told(engine, threads, std::max(engine.last_load_report, now_ - away_));
 }
 
-void Gateway::Choice::take_told(Engine& engine, double threads, Time at) {
+void Gateway::Impl::take_told(Engine& engine, double threads, Time at) {
   take_report(engine, threads, at);
   const double told = threads / cores(engine);
   if (level() >= 0) {
@@ -49,34 +49,35 @@
   level_at_ = now_;
 }
 
-void Gateway::Choice::take_report(Engine& engine, double threads, Time at) {
-  engine.reported = at;
-  engine.others = std::max(0.0, threads - engine.threads);
+void Gateway::Impl::take_report(Engine& engine, double threads, Time at) {
+  engine.last_load_report = at;
+  engine.other_gateways_threads = std::max(0.0, threads - engine.threads);
   recent_.push_front({at, &engine});
-  if (recent_.size() > kLooks) recent_.pop_back();
+  if (recent_.size() > kMaxCandidates) recent_.pop_back();
 }
 
-void Gateway::Choice::on(const ProbeResult& probe) {
+void Gateway::Impl::on(const ProbeResult& probe) {
   const auto at = engines_.find(probe.engine);
   if (at == engines_.end()) return;
   auto& engine = at->second;
-  if (probe.result != Result::served) return engine.broke > Time::zero() ? rest(engine, "is down") : void();
+  if (probe.status != AttemptStatus::served)
+    return engine.connection_broken_at > Time::zero() ? rest(engine, "is down") : void();
   alive(engine, now_);
   take_load(engine, probe.load);
 }
 
 // Few gateways tell all others their own threads; many tell a few, drawn, the newest reports they have, at
 // so many bytes a query. A malformed message is ignored whole.
-void Gateway::Choice::on(const PeerMessage& message) {
+void Gateway::Impl::on(const PeerMessage& message) {
   const auto text = decode(message.bytes);
   if (!text) return;
-  if (!text->reports) {
+  if (!text->has_reports) {
     peers_[message.from] = {now_, {}};
     for (const auto& entry : text->entries) peers_[message.from].second[entry.engine] = entry.value;
     return;
   }
   // Busy gateways tell more often: each message weighs as the time between two of its sender's queries.
-  const double gap = 1 / std::max(kLeastRate, text->rate / 16.0);
+  const double gap = 1 / std::max(kLeastRate, text->arrival_rate_sixteenths / 16.0);
   const double step = std::max(kPeerStep, 1.0 / ++peers_heard_);
   peer_gap_ += step * (gap - peer_gap_);
   peer_threads_ += step * (gap * text->threads - peer_threads_);
@@ -84,28 +85,28 @@
   if (peers_heard_ >= kPeersNeeded) level_ = peer_threads_ / peer_gap_ * s_.gateways / std::max(1.0, cores_);
   for (const auto& entry : text->entries) {
     const auto at = engines_.find(entry.engine);
-    const Time told = now_ - entry.age * kTick;
-    if (at == engines_.end() || !at->second.ready || told <= at->second.reported) continue;
+    const Time told = now_ - entry.age_ticks * kTimerInterval;
+    if (at == engines_.end() || !at->second.ready || told <= at->second.last_load_report) continue;
     alive(at->second, told);
     take_told(at->second, entry.value / 32.0 * cores(at->second), told);
   }
 }
 
-void Gateway::Choice::tell_peers() {
-  if (!s_.may_tell || s_.gateways < 2 || now_ < told_ + kTellPace) return;
+void Gateway::Impl::tell_peers() {
+  if (!s_.can_message_peers || s_.gateways < 2 || now_ < told_ + kTellPace) return;
   told_ = now_;
-  PeerText text;
-  text.reports = s_.gateways > kTellAll;
-  if (!text.reports) {
+  PeerLoadMessage text;
+  text.has_reports = s_.gateways > kTellAll;
+  if (!text.has_reports) {
     for (const auto id : busy_) text.entries.push_back({id, engines_.at(id).threads});
-    return put(Tell{std::nullopt, encode(text)});
+    return put(SendPeerMessage{std::nullopt, encode(text)});
   }
   text.threads = static_cast<unsigned>(running());
-  text.rate = static_cast<unsigned>(arrival_rate_ * 16);
+  text.arrival_rate_sixteenths = static_cast<unsigned>(arrival_rate_ * 16);
   for (const auto& [at, engine] : recent_) {
-    const auto age = static_cast<unsigned>((now_ - at) / kTick);
-    const double value = (engine->others + engine->threads) / cores(*engine) * 32;
-    if (age < 255 && engine->reported == at)
+    const auto age = static_cast<unsigned>((now_ - at) / kTimerInterval);
+    const double value = (engine->other_gateways_threads + engine->threads) / cores(*engine) * 32;
+    if (age < 255 && engine->last_load_report == at)
       text.entries.push_back({engine->entry.engine, static_cast<unsigned>(value), age});
   }
   const auto bytes = encode(text);
@@ -113,66 +114,68 @@
   while (tell_bytes_ >= size) {
     tell_bytes_ -= size;
     const auto to = static_cast<std::uint32_t>(random_() % (s_.gateways - 1));
-    put(Tell{to < s_.me ? to : to + 1, bytes});
+    put(SendPeerMessage{to < s_.gateway_index ? to : to + 1, bytes});
   }
 }
 
 // True: a probe went out, as reports of the engine are old and there are probes to spare.
-bool Gateway::Choice::probe(Engine& engine, double spare) {
-  const bool old = now_ >= std::max(engine.reported, engine.probed) + kProbeAge;
+bool Gateway::Impl::probe(Engine& engine, double spare) {
+  const bool old = now_ >= std::max(engine.last_load_report, engine.last_probe) + kProbeAge;
   return old && !s_.load_fields.empty() && probe_tokens_ >= 1 + spare && ask(engine);
 }
 
-bool Gateway::Choice::ask(Engine& engine) {
-  if (!s_.may_probe || probe_tokens_ < 1) return false;
-  engine.probed = now_;
+bool Gateway::Impl::ask(Engine& engine) {
+  if (!s_.can_probe || probe_tokens_ < 1) return false;
+  engine.last_probe = now_;
   probe_tokens_ -= 1;
   put(Probe{engine.entry.engine});
   return true;
 }
 
 // Probes engines for a query. True: await them. Large pools keep all reports fresh instead.
-bool Gateway::Choice::look(Request& request, const std::vector<Engine*>& engines) {
-  if (!few_ || request.look_until > Time::zero()) return few_ && request.look_until > now_;
-  request.look_until = now_;
-  const bool heavy = 2 * classes_[request.asked.cls].work > heaviest();
+bool Gateway::Impl::look(Request& request, const std::vector<Engine*>& engines) {
+  if (!few_ || request.probe_wait_until > Time::zero()) return few_ && request.probe_wait_until > now_;
+  request.probe_wait_until = now_;
+  const bool heavy = 2 * classes_[request.arrival.class_index].mean_work > heaviest();
   const auto most = std::min<std::size_t>(engines.size(), heavy ? kProbesHeavy : 1);
   for (std::size_t i = 0; i < most; ++i)
-    if (probe(*engines[i], heavy ? 0 : kProbesHeavy - 1)) request.look_until = now_ + kProbeWait;
-  return request.look_until > now_;
+    if (probe(*engines[i], heavy ? 0 : kProbesHeavy - 1)) request.probe_wait_until = now_ + kProbeWait;
+  return request.probe_wait_until > now_;
 }
 
-bool Gateway::Choice::crowded() const {
-  return level() < 0 ? fleet_pace_ > kJamPace : level() > kPassCrowd * ease_;
+bool Gateway::Impl::crowded() const {
+  return level() < 0 ? fleet_pace_ > kCongestedLatencyRatio : level() > kBorrowingLoadLimit * ease_;
 }
 
 // Of the fleet, threads a core; below 0: nothing has told yet.
-double Gateway::Choice::level() const {
+double Gateway::Impl::level() const {
   return now_ > level_at_ + kLevelLife ? -1 : level_ < 0 ? told_level_ : level_;
 }
 
 // Threads of all gateways on an engine, as something fresh tells; an engine that nothing fresh tells of is
 // taken to be like the others, never as empty: all gateways would run to the engines they know least of.
-std::optional<double> Gateway::Choice::all_threads(const Engine& engine) const {
+std::optional<double> Gateway::Impl::all_threads(const Engine& engine) const {
   double others = 0;
   bool told = false;
   for (const auto& [from, peer] : peers_) {
-    if (now_ > peer.first + kFresh) continue;
+    if (now_ > peer.first + kMaxReportAge) continue;
     told = true;
     const auto at = peer.second.find(engine.entry.engine);
     others += at == peer.second.end() ? 0 : at->second;
   }
   if (told) return others + engine.threads;
   const double level = this->level();
-  const bool fresh = engine.reported > Time::zero() && now_ <= engine.reported + kFresh;
-  const double weight = std::exp(-secs(now_ - engine.reported) / kReportLife);
-  if (level < 0) return fresh ? std::optional(weight * engine.others + engine.threads) : std::nullopt;
+  const bool fresh =
+      engine.last_load_report > Time::zero() && now_ <= engine.last_load_report + kMaxReportAge;
+  const double weight = std::exp(-to_seconds(now_ - engine.last_load_report) / kReportDecaySeconds);
+  if (level < 0)
+    return fresh ? std::optional(weight * engine.other_gateways_threads + engine.threads) : std::nullopt;
   // A cold engine is filled by turns, under the fleet's level.
   const double usual = (cold(engine) ? kColdLevel : 1) * level * cores(engine) * warmth(engine, 0s);
   // Round the level that the gateways' own threads add up to, reports only tell engines apart.
   const double apart = !fresh       ? 0
-                       : level_ < 0 ? engine.others + engine.threads - usual
-                                    : engine.others - told_level_ * cores(engine);
+                       : level_ < 0 ? engine.other_gateways_threads + engine.threads - usual
+                                    : engine.other_gateways_threads - told_level_ * cores(engine);
   return std::max<double>(engine.threads, swing() * usual + trust() * weight * apart);
 }
 
@@ -181,17 +184,17 @@
 // reports then lie further apart than chance would have them. Engines that really differ (slow, jammed)
 // look the same; they are still told apart by a quarter. So are they where utilisation is all that is told:
 // it ends at "all busy", and falls when disks jam.
-double Gateway::Choice::trust() const {
+double Gateway::Impl::trust() const {
   if (level_ >= 0) return kApart;
   return few_ ? std::clamp(kScatter / scatter_, kApart, 1.0) : 1;
 }
 
-double Gateway::Choice::swing() const {
+double Gateway::Impl::swing() const {
   if (level_ >= 0) return 1;  // the gateways' messages are fresh
   const double usual = std::max(1.0, own_threads_);
   return 1 + (1 - trust()) * std::clamp((running() - usual) / usual, -1.0, 1.0);
 }
 
-double Gateway::Choice::running() const { return sum(&Class::running); }  // threads
+double Gateway::Impl::running() const { return sum(&ClassState::running_threads); }  // threads
 
 }  // namespace heronwell
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -97,12 +97,13 @@
   bad(key, "holds an unknown word");
 }
 
-constexpr Word<Effect> kEffects[] = {
-    {"safe", Effect::safe}, {"keyed", Effect::keyed}, {"unsafe", Effect::unsafe}};
-constexpr Word<RepeatGroup> kGroups[] = {
-    {"all", RepeatGroup::all}, {"zone", RepeatGroup::zone}, {"cell", RepeatGroup::cell}};
-constexpr Word<Shortage> kShortages[] = {
-    {"line_up", Shortage::wait}, {"cut", Shortage::shrink}, {"overcommit", Shortage::overcommit}};
+constexpr Word<Idempotency> kEffects[] = {
+    {"safe", Idempotency::safe}, {"keyed", Idempotency::keyed}, {"unsafe", Idempotency::unsafe}};
+constexpr Word<DeduplicationScope> kGroups[] = {
+    {"all", DeduplicationScope::all}, {"zone", DeduplicationScope::zone}, {"cell", DeduplicationScope::cell}};
+constexpr Word<MemoryShortagePolicy> kShortages[] = {{"line_up", MemoryShortagePolicy::wait},
+                                                     {"cut", MemoryShortagePolicy::shrink},
+                                                     {"overcommit", MemoryShortagePolicy::overcommit}};
 constexpr Word<LoadField> kFields[] = {{"busy_reqs", LoadField::inflight}, {"pending", LoadField::queue},
                                        {"cpu_share", LoadField::util},     {"svc_ms", LoadField::latency_ms},
                                        {"served_ps", LoadField::served},   {"failed_ps", LoadField::failed},
@@ -119,17 +120,17 @@
 ClassSettings parse_class(const json& in) {
   ClassSettings out;
   out.name = text_or(in, "name", "");
-  out.aim = time(need(in, "aim"), "classes[].aim");
-  out.aim_stretch = number_or(in, "aim-stretch", 0);
-  out.give_up = time(need(in, "give-up"), "classes[].give-up");
-  out.worth = number_or(in, "credit", 1);
-  out.late_share = number_or(in, "late-share", 0);
-  out.effect = one_of(text_or(in, "semantics", "unsafe"), kEffects, "classes[].semantics");
-  out.group = one_of(text_or(in, "group", "all"), kGroups, "classes[].group");
-  out.window = time_or(in, "window", Time::zero());
-  out.in_order = flag_or(in, "in-order", false);
-  out.zones = only(in, "zones-allowed");
-  out.kinds = only(in, "bound-to");
+  out.latency_target = time(need(in, "aim"), "classes[].aim");
+  out.latency_target_per_work = number_or(in, "aim-stretch", 0);
+  out.request_timeout = time(need(in, "give-up"), "classes[].give-up");
+  out.value = number_or(in, "credit", 1);
+  out.late_value_share = number_or(in, "late-share", 0);
+  out.idempotency = one_of(text_or(in, "semantics", "unsafe"), kEffects, "classes[].semantics");
+  out.deduplication_scope = one_of(text_or(in, "group", "all"), kGroups, "classes[].group");
+  out.deduplication_window = time_or(in, "window", Time::zero());
+  out.ordered_by_key = flag_or(in, "in-order", false);
+  out.allowed_zones = only(in, "zones-allowed");
+  out.allowed_kinds = only(in, "bound-to");
   return out;
 }
 
@@ -150,41 +151,41 @@
     return v.get<bool>();
   };
   each(find(in, "loads"), classes, "loads",
-       [&](std::size_t i, const json& v) { out.classes[i].holds_group = truth(v, "loads"); });
+       [&](std::size_t i, const json& v) { out.classes[i].locks_data_group = truth(v, "loads"); });
   each(find(in, "class-waits"), classes, "class-waits",
-       [&](std::size_t i, const json& v) { out.classes[i].waits_for_group = truth(v, "class-waits"); });
+       [&](std::size_t i, const json& v) { out.classes[i].waits_for_data_group = truth(v, "class-waits"); });
   each(find(in, "cpu-of-kind"), kinds, "cpu-of-kind",
        [&](std::size_t i, const json& v) { out.kinds[i].cores = number(v, "cpu-of-kind"); });
   each(find(in, "ram-of-kind-mb"), kinds, "ram-of-kind-mb",
        [&](std::size_t i, const json& v) { out.kinds[i].memory_mb = number(v, "ram-of-kind-mb"); });
-  out.grants = flag_or(in, "grants", false);
+  out.memory_reservations = flag_or(in, "grants", false);
   out.priorities = flag_or(in, "takes-priority", false);
-  out.tells_cost = flag_or(in, "tells-cost", false);
-  out.max_grant_share = number_or(in, "max-grant-share", 1);
-  out.progress_pace = time_or(in, "progress-pace", Time::zero());
-  out.shortage = one_of(text_or(in, "out-of-memory", "line_up"), kShortages, "out-of-memory");
+  out.reports_cost = flag_or(in, "tells-cost", false);
+  out.max_memory_share = number_or(in, "max-grant-share", 1);
+  out.progress_interval = time_or(in, "progress-pace", Time::zero());
+  out.memory_shortage_policy = one_of(text_or(in, "out-of-memory", "line_up"), kShortages, "out-of-memory");
 }
 
 void parse_ceilings(const json& in, Settings& out) {
   out.max_attempts = whole_or<unsigned>(in, "max-attempts", 1);
-  out.max_open = whole_or<std::size_t>(in, "most-held", 0);
-  out.may_call_off = flag_or(in, "cancel", false);
-  out.may_probe = flag_or(in, "probing", false);
-  out.may_tell = flag_or(in, "may-tell", false);
-  out.second_copies = flag_or(in, "second-copies", false);
-  out.retry_after = flag_or(in, "retry-after", false);
+  out.max_open_requests = whole_or<std::size_t>(in, "most-held", 0);
+  out.can_cancel = flag_or(in, "cancel", false);
+  out.can_probe = flag_or(in, "probing", false);
+  out.can_message_peers = flag_or(in, "may-tell", false);
+  out.can_hedge = flag_or(in, "second-copies", false);
+  out.sends_retry_after = flag_or(in, "retry-after", false);
   out.max_retry_after = time_or(in, "max-retry-after", Time::zero());
 }
 
 void parse_safety(const json& in, Settings& out) {
   out.drain_grace = time_or(in, "drain-grace", Time::zero());
-  out.answer_grace = time_or(in, "grace-to-answer", Time::zero());
-  out.cold_from = number_or(in, "cold-from", 1);
-  out.ramp_time = time_or(in, "ramp-time", Time::zero());
-  out.tip_multiple = number_or(in, "tip-multiple", 0);
-  out.tip_window = time_or(in, "fall", Time::zero());
-  out.order_rest = time_or(in, "turn-gap", Time::zero());
-  out.ask_within = time_or(in, "ask-within", Time::zero());
+  out.response_grace = time_or(in, "grace-to-answer", Time::zero());
+  out.slow_start_initial_share = number_or(in, "cold-from", 1);
+  out.slow_start_duration = time_or(in, "ramp-time", Time::zero());
+  out.overload_multiple = number_or(in, "tip-multiple", 0);
+  out.overload_window = time_or(in, "fall", Time::zero());
+  out.order_quiet_period = time_or(in, "turn-gap", Time::zero());
+  out.poll_interval_limit = time_or(in, "ask-within", Time::zero());
   if (find(in, "resend-span") != nullptr) {
     out.retry_budget = RetryBudget{time_or(in, "resend-span", Time::zero()), number_or(in, "free-resends", 0),
                                    number_or(in, "further-ratio", 0)};
@@ -193,7 +194,7 @@
 
 void parse_report(const json& in, Settings& out) {
   const std::string how = text_or(in, "how", "silent");
-  out.load_in_answers = how == "piggyback";
+  out.load_in_responses = how == "piggyback";
   if (how == "silent") return;
   const json* fields = find(in, "fields");
   if (fields == nullptr) return;
@@ -244,24 +245,24 @@
   std::size_t at_ = 0;
 };
 
-Result take_result(Bytes& in) {
+AttemptStatus take_result(Bytes& in) {
   switch (const auto code = in.take<std::uint16_t>(); code) {
     case 100:
-      return Result::served;
+      return AttemptStatus::served;
     case 301:
-      return Result::error;
+      return AttemptStatus::error;
     case 302:
-      return Result::turned_away;
+      return AttemptStatus::rejected;
     case 303:
-      return Result::timed_out;
+      return AttemptStatus::timed_out;
     case 304:
-      return Result::not_connected;
+      return AttemptStatus::connect_failed;
     case 305:
-      return Result::reset;
+      return AttemptStatus::connection_reset;
     case 306:
-      return Result::called_off;
+      return AttemptStatus::cancelled;
     case 307:
-      return Result::moot;
+      return AttemptStatus::expired;
     default:
       throw Malformed("frame: unknown outcome " + std::to_string(code));
   }
@@ -302,44 +303,44 @@
 Arrival take_arrival(Bytes& in) {
   Arrival out;
   out.request = in.take<std::uint32_t>();
-  out.cls = in.take<std::uint16_t>();
+  out.class_index = in.take<std::uint16_t>();
   out.tenant = in.take<std::uint32_t>();
   out.order_key = in.take<std::uint64_t>();
   out.time_left = in.take_time();
   const Time cost = in.take_time();
-  out.memory_mb = in.take_float();
+  out.estimated_memory_mb = in.take_float();
   const double group = in.take_float();
   out.data_group = group >= 0 && group < 1e9 ? static_cast<std::int64_t>(group) : 0;
   const auto flags = in.take<std::uint8_t>();
-  if ((flags & 1U) != 0) out.cost = cost;
-  out.repeat = (flags & 2U) != 0;
+  if ((flags & 1U) != 0) out.estimated_work = cost;
+  out.is_retry = (flags & 2U) != 0;
   return out;
 }
 
-Outcome take_outcome(Bytes& in) {
-  Outcome out;
+AttemptResult take_outcome(Bytes& in) {
+  AttemptResult out;
   out.request = in.take<std::uint32_t>();
   out.attempt = in.take<std::uint16_t>();
   out.engine = in.take<std::uint32_t>();
-  out.result = take_result(in);
+  out.status = take_result(in);
   out.latency = in.take_time();
-  out.closed = in.take<std::uint8_t>() != 0;
+  out.request_closed = in.take<std::uint8_t>() != 0;
   const auto used = in.take<std::uint32_t>();
   if (used != 0) {
     out.work = std::chrono::milliseconds(used / 4096);
-    out.memory_mb = 4.0 * (used % 4096);
+    out.memory_needed_mb = 4.0 * (used % 4096);
   }
   out.load = take_load(in);
   return out;
 }
 
-Note take_note(Bytes& in) {
-  Note out;
+ProgressReport take_note(Bytes& in) {
+  ProgressReport out;
   out.request = in.take<std::uint32_t>();
   const auto sort = in.take<std::uint8_t>();
   if (sort < 1 || sort > 3) throw Malformed("frame: unknown note " + std::to_string(sort));
-  out.kind = sort == 1 ? NoteKind::progress : sort == 2 ? NoteKind::spill : NoteKind::waiting;
-  out.amount = in.take_float();
+  out.kind = sort == 1 ? ProgressKind::progress : sort == 2 ? ProgressKind::spill : ProgressKind::waiting;
+  out.value = in.take_float();
   out.engine = in.take<std::uint32_t>();
   out.attempt = in.take<std::uint16_t>();
   return out;
@@ -347,7 +348,7 @@
 
 ProbeResult take_probe(Bytes& in) {
   ProbeResult out;
-  out.result = take_result(in);
+  out.status = take_result(in);
   out.engine = in.take<std::uint32_t>();
   out.latency = in.take_time();
   out.load = take_load(in);
@@ -378,30 +379,30 @@
   void operator()(const Send& a) const {
     code(100);
     put(out, a.request);
-    put_time(out, a.until);
+    put_time(out, a.deadline);
     put(out, a.engine);
   }
-  void operator()(const CallOff& a) const {
+  void operator()(const CancelAttempt& a) const {
     code(50);
     put(out, a.request);
     put(out, a.attempt);
   }
-  void operator()(const Refuse& a) const {
+  void operator()(const Reject& a) const {
     code(70);
     put(out, a.request);
-    put_time(out, a.pause);
+    put_time(out, a.retry_after);
   }
   void operator()(const Fail& a) const {
     code(80);
     put(out, a.request);
   }
-  void operator()(const Terms& a) const {
+  void operator()(const ExecutionLimits& a) const {
     code(30);
     put(out, a.request);
     put(out, std::bit_cast<std::uint32_t>(static_cast<float>(a.memory_mb)));
     put(out, a.priority);
   }
-  void operator()(const WakeAfter& a) const {
+  void operator()(const SetTimer& a) const {
     code(20);
     put(out, std::uint32_t{0});
     put_time(out, a.delay);
@@ -410,14 +411,14 @@
     code(40);
     put(out, a.engine);
   }
-  void operator()(const Tell& a) const {
+  void operator()(const SendPeerMessage& a) const {
     code(10);
     put(out, a.to.value_or(std::numeric_limits<std::uint32_t>::max()));
     put_text(out, a.bytes);
   }
-  void operator()(const Observe& a) const {
+  void operator()(const WatchMembership& a) const {
     code(60);
-    put(out, static_cast<std::uint8_t>(a.on ? 1 : 0));
+    put(out, static_cast<std::uint8_t>(a.enabled ? 1 : 0));
   }
   void operator()(const Trace& a) const {
     code(110);
@@ -433,9 +434,9 @@
   if (in.is_discarded() || !in.is_object()) throw Malformed("settings: not a JSON object");
   Settings out;
   out.gateways = whole<unsigned>(need(in, "balancers"), "balancers");
-  out.me = whole_or<unsigned>(in, "me", 0);
+  out.gateway_index = whole_or<unsigned>(in, "me", 0);
   out.zone = whole_or<std::uint16_t>(in, "az", 0);
-  out.step = time_or(in, "step", out.step);
+  out.min_call_interval = time_or(in, "step", out.min_call_interval);
   for (const json& item : list(need(in, "classes"), "classes")) out.classes.push_back(parse_class(item));
   for (const json& item : list(need(in, "kinds"), "kinds")) {
     if (!item.is_string()) bad("kinds", "holds something that is no text");
@@ -450,10 +451,10 @@
   }
   if (const json* zones = find(in, "zones"); zones != nullptr)
     out.zones = static_cast<unsigned>(list(*zones, "zones").size());
-  out.over_share_worth = number_or(in, "over-share-worth", 1);
+  out.over_share_value = number_or(in, "over-share-worth", 1);
   if (const json* prices = find(in, "prices"); prices != nullptr)
-    out.price_cross_zone = number_or(*prices, "cross-zone", 0);
-  out.ask_for_list = text_or(in, "membership-mode", "pushed") == "on_request";
+    out.cross_zone_cost = number_or(*prices, "cross-zone", 0);
+  out.membership_on_request = text_or(in, "membership-mode", "pushed") == "on_request";
   parse_ceilings(need(in, "ceilings"), out);
   parse_safety(need(in, "safety"), out);
   parse_family(need(in, "family-info"), out);
@@ -512,8 +513,8 @@
         const auto number = in.take<std::uint32_t>();
         in.take<std::uint32_t>();
         if (mode > 3) throw Malformed("frame: unknown list mode " + std::to_string(mode));
-        Listing listing{static_cast<ListKind>(mode), {}};
-        if (listing.kind != ListKind::failed) {
+        MembershipUpdate listing{static_cast<MembershipUpdateKind>(mode), {}};
+        if (listing.kind != MembershipUpdateKind::failed) {
           if (number >= lists_.size() || !known_[number])
             throw Malformed("frame: unknown list number " + std::to_string(number));
           listing.engines = lists_[number];
@@ -531,11 +532,11 @@
         add(Event(take_outcome(in)));
         break;
       case 60:
-        add(Event(ClientLeft{in.take<std::uint32_t>()}));
+        add(Event(RequestCancelled{in.take<std::uint32_t>()}));
         break;
       case 70:
         in.take<std::uint32_t>();
-        add(Event(Wake{}));
+        add(Event(TimerExpired{}));
         break;
       case 80:
         add(Event(take_probe(in)));
--- a/tests/bench.hpp
+++ b/tests/bench.hpp
@@ -16,29 +16,29 @@
   Settings s;
   s.gateways = 1;
   s.max_attempts = 3;
-  s.retry_after = true;
+  s.sends_retry_after = true;
   s.max_retry_after = 500ms;
-  s.may_call_off = true;
+  s.can_cancel = true;
   s.kinds = {{"one", 4, 8192}, {"two", 4, 8192}};
   ClassSettings quick;
   quick.name = "quick";
-  quick.aim = 1s;
-  quick.give_up = 5s;
+  quick.latency_target = 1s;
+  quick.request_timeout = 5s;
   ClassSettings once = quick;
   once.name = "once";
-  once.aim = 2s;
-  once.effect = Effect::unsafe;
+  once.latency_target = 2s;
+  once.idempotency = Idempotency::unsafe;
   ClassSettings keyed = quick;
   keyed.name = "keyed";
-  keyed.aim = 3s;
-  keyed.effect = Effect::keyed;
-  keyed.group = RepeatGroup::zone;
-  keyed.window = 2s;
+  keyed.latency_target = 3s;
+  keyed.idempotency = Idempotency::keyed;
+  keyed.deduplication_scope = DeduplicationScope::zone;
+  keyed.deduplication_window = 2s;
   s.classes = {quick, once, keyed};
-  s.cold_from = 0.4;
-  s.ramp_time = 10s;
-  s.tip_multiple = 2.5;
-  s.tip_window = 2s;
+  s.slow_start_initial_share = 0.4;
+  s.slow_start_duration = 10s;
+  s.overload_multiple = 2.5;
+  s.overload_window = 2s;
   s.drain_grace = 500ms;
   return s;
 }
@@ -53,39 +53,39 @@
     gateway.handle(now, events, out);
     for (const auto& action : out) {
       if (const auto* send = std::get_if<Send>(&action)) sends.push_back(*send);
-      if (std::holds_alternative<WakeAfter>(action)) wake = now + std::get<WakeAfter>(action).delay;
-      if (const auto* refuse = std::get_if<Refuse>(&action)) ++refused[refuse->request];
+      if (std::holds_alternative<SetTimer>(action)) wake = now + std::get<SetTimer>(action).delay;
+      if (const auto* refuse = std::get_if<Reject>(&action)) ++refused[refuse->request];
       if (const auto* fail = std::get_if<Fail>(&action)) ++failed[fail->request];
-      if (const auto* off = std::get_if<CallOff>(&action))
+      if (const auto* off = std::get_if<CancelAttempt>(&action))
         called_off.emplace_back(off->request, off->attempt);
     }
     return out;
   }
   // Lets the clock run; wakes come when they were asked for.
   void until(Time time) {
-    while (wake <= time) at(wake, {Wake{}});
+    while (wake <= time) at(wake, {TimerExpired{}});
     at(time, {});
   }
-  void list(std::vector<EngineEntry> engines, ListKind kind = ListKind::full) {
-    at(now, {Listing{kind, std::move(engines)}});
+  void list(std::vector<EngineEntry> engines, MembershipUpdateKind kind = MembershipUpdateKind::full) {
+    at(now, {MembershipUpdate{kind, std::move(engines)}});
   }
   void ask(RequestId id, ClassIndex cls, Time left = 5s, std::uint64_t key = 0, std::int64_t group = 1) {
     Arrival a;
     a.request = id;
-    a.cls = cls;
+    a.class_index = cls;
     a.time_left = left;
     a.order_key = key;
     a.data_group = group;
     at(now, {a});
   }
-  void ends(RequestId id, AttemptIndex n, EngineId engine, Result result, Time latency = 100ms) {
-    Outcome o;
+  void ends(RequestId id, AttemptIndex n, EngineId engine, AttemptStatus result, Time latency = 100ms) {
+    AttemptResult o;
     o.request = id;
     o.attempt = n;
     o.engine = engine;
-    o.result = result;
+    o.status = result;
     o.latency = latency;
-    o.closed = result == Result::served;
+    o.request_closed = result == AttemptStatus::served;
     at(now, {o});
   }
   [[nodiscard]] int sends_of(RequestId id) const {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -155,29 +155,29 @@
   heronwell::Settings settings;
   heronwell::ClassSettings lookup, load;
   lookup.name = "lookup";
-  lookup.give_up = std::chrono::seconds(2);
+  lookup.request_timeout = std::chrono::seconds(2);
   load.name = "load";
-  load.give_up = std::chrono::seconds(25);
-  load.effect = heronwell::Effect::keyed;
+  load.request_timeout = std::chrono::seconds(25);
+  load.idempotency = heronwell::Idempotency::keyed;
   settings.classes = {lookup, load};
-  config::Names names;
+  config::NameIndex names;
   names.classes = {{"lookup", 0}, {"load", 1}};
   const auto map = [&](const char* text, const std::vector<sql::Value>& values = {},
                        const std::vector<mysql::Attribute>& more = {}) {
     return mysql::map_statement(text, values, more, 3, names, settings);
   };
   const auto plain = map("SELECT a FROM sales_17.orders");
-  EXPECT_EQ(plain.cls, 0);
-  EXPECT_EQ(plain.limit, std::chrono::seconds(2));
+  EXPECT_EQ(plain.class_index, 0);
+  EXPECT_EQ(plain.timeout, std::chrono::seconds(2));
   EXPECT_EQ(plain.data_group, 17);
   EXPECT_EQ(plain.tenant, 3U);
   const auto full =
       map("/* bellstair: class=load unique=?2 item=ff limit=900 */ INSERT INTO a_1.b VALUES (?, ?)",
           {std::int64_t{1}, "k-1"s}, {{"limit", std::int64_t{700}}, {"driver_name", "x"s}});
-  EXPECT_EQ(full.cls, 1);
-  EXPECT_EQ(full.nonce, "k-1");
+  EXPECT_EQ(full.class_index, 1);
+  EXPECT_EQ(full.idempotency_key, "k-1");
   EXPECT_EQ(full.order_key, 255U);
-  EXPECT_EQ(full.limit, std::chrono::milliseconds(700));
+  EXPECT_EQ(full.timeout, std::chrono::milliseconds(700));
   for (const auto* bad :
        {"INSERT INTO a_1.b VALUES (1)", "/* bellstair: class=load */ INSERT INTO a_1.b VALUES (1)",
         "/* bellstair: class=none */ SELECT 1", "/* bellstair: what=1 */ SELECT 1",
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -8,7 +8,7 @@
 
 Settings copying() {
   Settings s = plain_settings();
-  s.second_copies = true;
+  s.can_hedge = true;
   return s;
 }
 
@@ -16,7 +16,7 @@
 void warm_up(Drive& d, ClassIndex cls = 0) {
   for (RequestId id = 1; id <= 20; ++id) {
     d.ask(id, cls);
-    d.ends(id, 0, d.sends.back().engine, Result::served);
+    d.ends(id, 0, d.sends.back().engine, AttemptStatus::served);
   }
 }
 
@@ -30,7 +30,7 @@
 TEST(Copies, AnAttemptFarOverdueGetsOneElsewhereOnlyWhereAllowed) {
   for (const bool allowed : {true, false}) {
     Settings s = copying();
-    s.second_copies = allowed;
+    s.can_hedge = allowed;
     Drive d(s);
     d.list({engine(7), engine(8)});
     warm_up(d);
@@ -51,10 +51,10 @@
     d.ask(50, 0);
     d.until(d.now + 500ms);
     ASSERT_EQ(d.sends_of(50), 2);
-    d.ends(50, first, engine_of(d, 50, first), Result::served);
+    d.ends(50, first, engine_of(d, 50, first), AttemptStatus::served);
     const std::vector<std::pair<RequestId, AttemptIndex>> other{{50, static_cast<AttemptIndex>(1 - first)}};
     EXPECT_EQ(d.called_off, other);
-    d.ends(50, other[0].second, engine_of(d, 50, other[0].second), Result::called_off);
+    d.ends(50, other[0].second, engine_of(d, 50, other[0].second), AttemptStatus::cancelled);
     d.until(d.now + 6s);
     EXPECT_EQ(d.sends_of(50), 2);
     EXPECT_EQ(d.answers(50), 0) << "the client has its answer";
@@ -63,7 +63,8 @@
 
 TEST(Copies, OneThatFailsNeitherEndsNorHoldsTheRequestWhileTheOtherRuns) {
   for (const auto result :
-       {Result::error, Result::reset, Result::lost, Result::turned_away, Result::called_off}) {
+       {AttemptStatus::error, AttemptStatus::connection_reset, AttemptStatus::query_dropped,
+        AttemptStatus::rejected, AttemptStatus::cancelled}) {
     Settings s = copying();
     s.max_attempts = 2;
     Drive d(s);
@@ -74,9 +75,9 @@
     ASSERT_EQ(d.sends_of(50), 2);
     d.ends(50, 1, engine_of(d, 50, 1), result);
     EXPECT_EQ(d.answers(50), 0);
-    EXPECT_EQ(d.gateway.view(0).queued, 0U);
-    EXPECT_EQ(d.gateway.view(0).running, 1U);
-    d.ends(50, 0, engine_of(d, 50, 0), Result::error);
+    EXPECT_EQ(d.gateway.class_stats(0).queued, 0U);
+    EXPECT_EQ(d.gateway.class_stats(0).running_threads, 1U);
+    d.ends(50, 0, engine_of(d, 50, 0), AttemptStatus::error);
     EXPECT_EQ(d.answers(50), 1) << "no attempt is left";
   }
 }
@@ -101,7 +102,7 @@
   warm_up(d, 1);
   for (RequestId id = 21; id <= 40; ++id) {
     d.ask(id, 2);
-    d.ends(id, 0, d.sends.back().engine, Result::served);
+    d.ends(id, 0, d.sends.back().engine, AttemptStatus::served);
   }
   d.ask(50, 1);
   d.ask(51, 2);
@@ -135,8 +136,8 @@
   Arrival a;
   a.request = id;
   a.time_left = 5s;
-  a.cost = cost;
-  a.memory_mb = memory_mb;
+  a.estimated_work = cost;
+  a.estimated_memory_mb = memory_mb;
   return a;
 }
 
@@ -151,11 +152,11 @@
     for (RequestId id = from; id < from + 60; ++id) {
       d.at(d.now, {estimated(id, 100ms)});
       if (d.sends_of(id) == 1) {
-        Outcome o;
+        AttemptResult o;
         o.request = id;
         o.engine = engine_of(d, id, 0);
         o.latency = 100ms;
-        o.closed = true;
+        o.request_closed = true;
         o.load = {inflight};
         d.at(d.now, {o});
       }
@@ -165,7 +166,7 @@
   play(1, 1);
   d.at(d.now, {estimated(500, 400ms)});
   EXPECT_EQ(d.answers(500), 0) << "no crowd";
-  d.ends(500, 0, engine_of(d, 500, 0), Result::served);
+  d.ends(500, 0, engine_of(d, 500, 0), AttemptStatus::served);
   play(101, 5.5);
   d.at(d.now, {estimated(501, 400ms), estimated(502, 100ms)});
   EXPECT_EQ(d.answers(501), 1);
@@ -177,7 +178,7 @@
   d.list({engine(7), engine(8)});
   for (RequestId id = 1; id <= 40; ++id) {
     d.at(d.now, {estimated(id, 100ms)});
-    d.ends(id, 0, engine_of(d, id, 0), Result::served, 400ms);
+    d.ends(id, 0, engine_of(d, id, 0), AttemptStatus::served, 400ms);
   }
   d.at(d.now, {estimated(50, 3s)});
   EXPECT_EQ(d.refused[50], 1);
@@ -188,12 +189,12 @@
   for (const Time cost : {100ms, 2000ms}) {
     Settings s = plain_settings();
     s.classes.resize(1);
-    s.classes[0].give_up = 60s;
+    s.classes[0].request_timeout = 60s;
     Drive d(s);
     d.list({engine(7)});
     for (RequestId id = 1; id <= 40; ++id) {
       d.at(d.now, {estimated(id, 100ms)});
-      d.ends(id, 0, engine_of(d, id, 0), Result::served);
+      d.ends(id, 0, engine_of(d, id, 0), AttemptStatus::served);
     }
     auto cold = engine(8);
     cold.last_start = d.now;
@@ -218,10 +219,10 @@
   const auto ask = [&d](RequestId id) {  // one in five is large, and is never served; 100 ms on average
     const Time work = id % 5 == 0 ? 400ms : 25ms;
     d.at(d.now, {estimated(id, work)});
-    if (d.sends_of(id) == 0) return d.at(d.now, {ClientLeft{id}});
-    if (id % 5 != 0) d.ends(id, 0, engine_of(d, id, 0), Result::served, work);
-    if (id % 5 == 0) d.at(d.now, {ClientLeft{id}});
-    if (id % 5 == 0) d.ends(id, 0, engine_of(d, id, 0), Result::called_off);
+    if (d.sends_of(id) == 0) return d.at(d.now, {RequestCancelled{id}});
+    if (id % 5 != 0) d.ends(id, 0, engine_of(d, id, 0), AttemptStatus::served, work);
+    if (id % 5 == 0) d.at(d.now, {RequestCancelled{id}});
+    if (id % 5 == 0) d.ends(id, 0, engine_of(d, id, 0), AttemptStatus::cancelled);
     return std::vector<Action>{};
   };
   for (RequestId id = 1; id <= 200; ++id) ask(id);
@@ -246,7 +247,7 @@
     d.list({engine(7)});
     for (RequestId id = 1; id <= 60; ++id) {
       d.at(d.now, {estimated(id, 100ms)});
-      d.ends(id, 0, engine_of(d, id, 0), Result::served, 250ms);
+      d.ends(id, 0, engine_of(d, id, 0), AttemptStatus::served, 250ms);
     }
     d.list({});
     d.at(d.now, {estimated(70, cost)});
@@ -260,7 +261,7 @@
   for (const bool slow : {false, true}) {
     Settings s = plain_settings();
     s.classes.resize(1);
-    s.over_share_worth = 0.1;
+    s.over_share_value = 0.1;
     s.tenants = {{"calm", 0.5, 5}, {"flood", 0.5, 5}};
     Drive d(s);
     d.list({engine(7), engine(8)});
@@ -271,7 +272,7 @@
       a.tenant = tenant;
       a.time_left = 5s;
       d.at(d.now, {a});
-      if (d.sends_of(id) == 1) d.ends(id, 0, engine_of(d, id, 0), Result::served, took);
+      if (d.sends_of(id) == 1) d.ends(id, 0, engine_of(d, id, 0), AttemptStatus::served, took);
     };
     for (int n = 0; n < 60; ++n) {
       ask(0, 100ms);
@@ -288,9 +289,9 @@
   d.ask(1, 0);
   d.ask(2, 0);
   d.list({engine(7), engine(8)});
-  d.ends(2, 0, 7, Result::turned_away);
+  d.ends(2, 0, 7, AttemptStatus::rejected);
   EXPECT_EQ(d.called_off, (std::vector<std::pair<RequestId, AttemptIndex>>{{1, 0}}));
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 8) << "of the other engine";
+  EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 8) << "of the other engine";
 }
 
 // Lost answers passed for running queries until their deadlines; the level that all gateways go by rose, and
@@ -298,32 +299,32 @@
 TEST(Copies, InACrowdAnOverdueAttemptIsMovedThoughNoCopyIsSent) {
   for (const bool noted : {false, true}) {  // an attempt that gave notes runs
     Settings s = copying();
-    s.progress_pace = 10s;
+    s.progress_interval = 10s;
     s.load_fields = {LoadField::inflight};
     Drive d(s);
     d.list({engine(7), engine(8)});
     for (RequestId id = 1; id <= 40; ++id) {
       d.ask(id, 0);
-      Outcome o;
+      AttemptResult o;
       o.request = id;
       o.engine = d.sends.back().engine;
       o.latency = 100ms;
-      o.closed = true;
+      o.request_closed = true;
       o.load = {7};
       d.at(d.now, {o});
     }
     d.ask(50, 0);
     ASSERT_EQ(d.sends_of(50), 1);
     d.until(d.now + 100ms);
-    if (noted) d.at(d.now, {Note{50, 0, d.sends.back().engine, NoteKind::progress, 0.5}});
+    if (noted) d.at(d.now, {ProgressReport{50, 0, d.sends.back().engine, ProgressKind::progress, 0.5}});
     d.until(d.now + 380ms);
     EXPECT_TRUE(d.called_off.empty());
     d.until(d.now + 250ms);
     EXPECT_EQ(d.sends_of(50), 1) << "no copy";
     EXPECT_EQ(d.called_off.size(), noted ? 0U : 1U);
     if (noted) continue;
-    d.ends(50, 0, engine_of(d, 50, 0), Result::called_off);
-    EXPECT_EQ(d.sends_of(50) + static_cast<int>(d.gateway.view(0).queued), 2)
+    d.ends(50, 0, engine_of(d, 50, 0), AttemptStatus::cancelled);
+    EXPECT_EQ(d.sends_of(50) + static_cast<int>(d.gateway.class_stats(0).queued), 2)
         << "sent again, or held for room";
   }
 }
@@ -331,16 +332,16 @@
 TEST(Sizes, OfLaterClassesSmallerQueriesGetPriority) {
   Settings s = plain_settings();
   s.priorities = true;
-  s.classes[1].effect = Effect::safe;
+  s.classes[1].idempotency = Idempotency::safe;
   Drive d(s);
   d.list({engine(7), engine(8)});
   std::vector<int> priorities;
   const auto ask = [&](RequestId id, Time cost) {
     auto asked = estimated(id, cost);
-    asked.cls = 1;
+    asked.class_index = 1;
     for (const auto& action : d.at(d.now, {asked}))
-      if (const auto* terms = std::get_if<Terms>(&action)) priorities.push_back(terms->priority);
-    d.ends(id, 0, engine_of(d, id, 0), Result::served);
+      if (const auto* terms = std::get_if<ExecutionLimits>(&action)) priorities.push_back(terms->priority);
+    d.ends(id, 0, engine_of(d, id, 0), AttemptStatus::served);
   };
   for (RequestId id = 1; id <= 30; ++id) ask(id, 100ms);
   priorities.clear();
@@ -352,23 +353,23 @@
 
 TEST(Grants, EstimatesAreSetRightByWhatAnswersTell) {
   Settings s = plain_settings();
-  s.grants = true;
+  s.memory_reservations = true;
   Drive d(s);
   d.list({engine(7), engine(8)});
   double granted = 0;
   for (RequestId id = 1; id <= 100; ++id) {
     for (const auto& action : d.at(d.now, {estimated(id, 100ms, 50)}))
-      if (const auto* terms = std::get_if<Terms>(&action)) granted = terms->memory_mb;
+      if (const auto* terms = std::get_if<ExecutionLimits>(&action)) granted = terms->memory_mb;
     if (id == 1) {
       EXPECT_NEAR(granted, 100, 1) << "nothing told yet: twice the estimate";
     }
-    Outcome o;
+    AttemptResult o;
     o.request = id;
     o.engine = engine_of(d, id, 0);
     o.latency = 100ms;
-    o.closed = true;
+    o.request_closed = true;
     o.work = 100ms;
-    o.memory_mb = 150;
+    o.memory_needed_mb = 150;
     d.at(d.now, {o});
   }
   EXPECT_NEAR(granted, 300, 3) << "needs are three times what the class's estimates say";
@@ -377,29 +378,29 @@
 // The need of queries without an estimate was set against an estimate of nothing: a grant without end.
 TEST(Grants, AnEstimateAfterAnswersToQueriesWithoutOneIsTakenAsItIs) {
   Settings s = plain_settings();
-  s.grants = true;
+  s.memory_reservations = true;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, 0);
-  Outcome o;
+  AttemptResult o;
   o.request = 1;
   o.engine = d.sends.back().engine;
   o.latency = 100ms;
-  o.closed = true;
+  o.request_closed = true;
   o.work = 100ms;
-  o.memory_mb = 150;
+  o.memory_needed_mb = 150;
   d.at(d.now, {o});
   double granted = 0;
   for (const auto& action : d.at(d.now, {estimated(2, 100ms, 50)}))
-    if (const auto* terms = std::get_if<Terms>(&action)) granted = terms->memory_mb;
+    if (const auto* terms = std::get_if<ExecutionLimits>(&action)) granted = terms->memory_mb;
   EXPECT_NEAR(granted, 100, 1);
 }
 
 // Queries that stood in an engine's line gave notes all the time, and the engine was rested as silent.
 TEST(Notes, WhoGivesThemIsNotSilentAndAnAttemptWithoutThemIsLost) {
   Settings s = plain_settings();
-  s.progress_pace = 1s;
-  s.classes[0].give_up = 30s;
+  s.progress_interval = 1s;
+  s.classes[0].request_timeout = 30s;
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 4; ++id) d.ask(id, 0, 30s);
@@ -407,11 +408,11 @@
   for (int second = 1; second <= 4; ++second) {
     d.until(d.now + 1s);
     std::vector<Event> notes;
-    for (RequestId id = 1; id <= 3; ++id) notes.push_back(Note{id, 0, 7, NoteKind::waiting, 1});
+    for (RequestId id = 1; id <= 3; ++id) notes.push_back(ProgressReport{id, 0, 7, ProgressKind::waiting, 1});
     d.at(d.now, notes);
   }
   EXPECT_EQ(d.called_off, (std::vector<std::pair<RequestId, AttemptIndex>>{{4, 0}}));
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 16) << "the engine is well";
+  EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 16) << "the engine is well";
 }
 
 }  // namespace
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -16,14 +16,14 @@
   s.kinds = {{"std-8", 8, 16384}};
   heronwell::ClassSettings lookup;
   lookup.name = "lookup";
-  lookup.aim = 400ms;
-  lookup.give_up = 2s;
+  lookup.latency_target = 400ms;
+  lookup.request_timeout = 2s;
   auto once = lookup;
   once.name = "once";
-  once.effect = heronwell::Effect::unsafe;
+  once.idempotency = heronwell::Idempotency::unsafe;
   s.classes = {lookup, once};
   s.max_attempts = 4;
-  s.may_call_off = s.retry_after = true;
+  s.can_cancel = s.sends_retry_after = true;
   s.max_retry_after = 500ms;
   s.priorities = true;
   return s;
@@ -41,7 +41,7 @@
  public:
   explicit Driven(heronwell::Settings with = settings()) : reducer(std::move(with), 1) {
     at(0ms, Listening{});
-    at(0ms, FleetChange{true, {member(7)}, true});
+    at(0ms, MembershipChange{true, {member(7)}, true});
     at(0ms, Tick{});
   }
   void at(Time after, Event event) {
@@ -52,13 +52,13 @@
   void pass(Time time) {
     for (const Time end = now + time; now < end;) at(std::min<Time>(5ms, end - now), Tick{});
   }
-  void ask(Client client, ClassIndex cls = 0, Time limit = 2s) {
-    Submission asked;
+  void ask(ClientHandle client, ClassIndex cls = 0, Time limit = 2s) {
+    ClientRequest asked;
     asked.client = client;
-    asked.cls = cls;
-    asked.limit = limit;
+    asked.class_index = cls;
+    asked.timeout = limit;
     asked.body = "SELECT 1";
-    at(10ms, Arrived{asked});
+    at(10ms, RequestArrived{asked});
   }
   template <class T>
   std::vector<T> all() const {
@@ -68,10 +68,10 @@
     }
     return out;
   }
-  void finish(AttemptId id, AttemptEnd how, std::string body = {}) {
+  void finish(AttemptId id, AttemptOutcome how, std::string body = {}) {
     AttemptEnded ended;
     ended.id = id;
-    ended.end = how;
+    ended.outcome = how;
     ended.body = std::move(body);
     at(10ms, ended);
   }
@@ -153,8 +153,8 @@
   EXPECT_TRUE(d.all<Transmit>().empty());  // not before there is a connection
   d.at(1ms, AttemptReady{started[0].id});
   ASSERT_EQ(d.all<Transmit>().size(), 1U);
-  d.finish(started[0].id, AttemptEnd::served, "rows");
-  d.finish(started[0].id, AttemptEnd::served, "again");
+  d.finish(started[0].id, AttemptOutcome::served, "rows");
+  d.finish(started[0].id, AttemptOutcome::served, "again");
   d.pass(3s);
   const auto answers = d.all<Answer>();
   ASSERT_EQ(answers.size(), 1U);
@@ -168,11 +168,11 @@
   Driven d;
   d.ask(1);
   const auto id = d.all<StartAttempt>().at(0).id;
-  d.at(1ms, FleetChange{false, {member(7, EngineState::draining), member(8)}, true});
+  d.at(1ms, MembershipChange{false, {member(7, EngineState::draining), member(8)}, true});
   d.at(1ms, AttemptReady{id});
   EXPECT_TRUE(d.all<Transmit>().empty());
-  ASSERT_EQ(d.all<Abandon>().size(), 1U);
-  d.finish(id, AttemptEnd::expired);
+  ASSERT_EQ(d.all<CancelAttempt>().size(), 1U);
+  d.finish(id, AttemptOutcome::expired);
   d.pass(50ms);
   ASSERT_EQ(d.all<StartAttempt>().size(), 2U);
   EXPECT_EQ(d.all<StartAttempt>()[1].engine, 8U);
@@ -187,10 +187,10 @@
   d.pass(90ms);
   ASSERT_EQ(d.all<Answer>().size(), 1U);
   EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::timed_out);  // not refused: it may have run
-  EXPECT_EQ(d.all<Abandon>().size(), 1U);
+  EXPECT_EQ(d.all<CancelAttempt>().size(), 1U);
   EXPECT_EQ(d.reducer.owed(), 0U);
   EXPECT_EQ(d.reducer.held(), 1U);  // until the engine has been told
-  d.finish(d.all<StartAttempt>()[0].id, AttemptEnd::withdrawn);
+  d.finish(d.all<StartAttempt>()[0].id, AttemptOutcome::cancelled);
   EXPECT_EQ(d.reducer.held(), 0U);
 }
 
@@ -198,23 +198,23 @@
   Driven d;
   d.ask(1);
   d.at(1ms, AttemptReady{d.all<StartAttempt>().at(0).id});
-  d.at(10ms, Cancelled{1});
-  EXPECT_EQ(d.all<Abandon>().size(), 1U);
-  d.finish(d.all<StartAttempt>()[0].id, AttemptEnd::served, "too late");
+  d.at(10ms, RequestCancelled{1});
+  EXPECT_EQ(d.all<CancelAttempt>().size(), 1U);
+  d.finish(d.all<StartAttempt>()[0].id, AttemptOutcome::served, "too late");
   d.pass(3s);
   EXPECT_TRUE(d.all<Answer>().empty());
 }
 
 TEST(Reducer, WhatIsRefusedAtAdmissionNeverReachesTheModule) {
   Driven d;
-  Submission asked;
+  ClientRequest asked;
   asked.client = 5;
-  asked.limit = 2s;
-  asked.barred = 250ms;
-  d.at(10ms, Arrived{asked});
+  asked.timeout = 2s;
+  asked.admission_retry_after = 250ms;
+  d.at(10ms, RequestArrived{asked});
   ASSERT_EQ(d.all<Answer>().size(), 1U);
-  EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::refused);
-  EXPECT_EQ(d.all<Answer>()[0].pause, 250ms);
+  EXPECT_EQ(d.all<Answer>()[0].kind, AnswerKind::rejected);
+  EXPECT_EQ(d.all<Answer>()[0].retry_after, 250ms);
   EXPECT_EQ(d.reducer.held(), 0U);
 }
 
@@ -222,19 +222,19 @@
 TEST(Reducer, WhatMemoryCannotHoldIsRefused) {
   Effects effects;
   Reducer reducer(settings(), 1, 4000);
-  for (Client client = 1; client <= 3; ++client) {
-    Submission asked;
+  for (ClientHandle client = 1; client <= 3; ++client) {
+    ClientRequest asked;
     asked.client = client;
-    asked.limit = 2s;
+    asked.timeout = 2s;
     asked.body = std::string(900, 'x');
-    reducer.reduce(1s, Arrived{asked}, effects);
+    reducer.reduce(1s, RequestArrived{asked}, effects);
   }
   EXPECT_EQ(reducer.held(), 2U);
   const auto* answer = std::get_if<Answer>(&effects.back());
   ASSERT_NE(answer, nullptr);
   EXPECT_EQ(answer->client, 3U);
-  EXPECT_EQ(answer->kind, AnswerKind::refused);
-  reducer.reduce(1s, Cancelled{1}, effects);
+  EXPECT_EQ(answer->kind, AnswerKind::rejected);
+  reducer.reduce(1s, RequestCancelled{1}, effects);
   EXPECT_EQ(reducer.held(), 1U);
 }
 
@@ -243,11 +243,11 @@
   d.ask(1);
   EXPECT_EQ(d.all<StartAttempt>().size(), 1U);
   d.at(7ms, Tick{});
-  Submission asked;
-  asked.limit = 2s;
-  for (Client client = 2; client < 5; ++client) {
+  ClientRequest asked;
+  asked.timeout = 2s;
+  for (ClientHandle client = 2; client < 5; ++client) {
     asked.client = client;
-    d.at(1ms, Arrived{asked});
+    d.at(1ms, RequestArrived{asked});
   }
   // The first goes at once; the others wait for the next call together.
   EXPECT_EQ(d.all<StartAttempt>().size(), 2U);
@@ -259,13 +259,13 @@
 TEST(Reducer, ARequestTakenWhileItDrainsIsStillAnswered) {
   Driven d;
   d.ask(1);
-  d.at(1ms, StopAsked{});
+  d.at(1ms, ShutdownRequested{});
   d.ask(2);
   d.pass(1s);
   EXPECT_EQ(d.reducer.lifecycle().phase(), Phase::draining);
   for (const auto& started : d.all<StartAttempt>()) {
     d.at(1ms, AttemptReady{started.id});
-    d.finish(started.id, AttemptEnd::served);
+    d.finish(started.id, AttemptOutcome::served);
   }
   d.pass(20ms);
   EXPECT_EQ(d.all<Answer>().size(), 2U);
@@ -277,21 +277,21 @@
 TEST(Reducer, WhatCannotEndBeforeTheProgramDoesIsGivenUpInTime) {
   for (const auto& [give_up, kept] : {std::pair<Time, Time>{20s, 3s}, {2s, 2s}}) {
     auto with = settings();
-    for (auto& set : with.classes) set.give_up = give_up;
+    for (auto& set : with.classes) set.request_timeout = give_up;
     Driven d(with);
     d.ask(42, 0, 20s);
     d.ask(43, 1, 20s);  // may not be repeated
     for (const auto& start : d.all<StartAttempt>()) d.at(1ms, AttemptReady{start.id});
     ASSERT_EQ(d.all<Transmit>().size(), 2U);
-    d.at(0ms, StopAsked{});
+    d.at(0ms, ShutdownRequested{});
     d.pass(kept);
     EXPECT_TRUE(d.all<Answer>().empty());
     d.pass(400ms);
     const auto answers = d.all<Answer>();
     ASSERT_EQ(answers.size(), 2U);
     for (const auto& answer : answers)
-      EXPECT_EQ(answer.kind, answer.client == 42 ? AnswerKind::refused : AnswerKind::failed);
-    EXPECT_EQ(d.all<Abandon>().size(), 2U);
+      EXPECT_EQ(answer.kind, answer.client == 42 ? AnswerKind::rejected : AnswerKind::failed);
+    EXPECT_EQ(d.all<CancelAttempt>().size(), 2U);
     d.pass(300ms);
     EXPECT_EQ(d.all<Exit>().size(), 1U);
   }
@@ -302,12 +302,12 @@
 TEST(Reducer, AnEngineThatSaysItGoesOnIsNotTakenForSilent) {
   for (const bool heard : {true, false}) {
     Driven d;
-    for (Client client = 1; client <= 4; ++client) d.ask(client, 0, 60s);
+    for (ClientHandle client = 1; client <= 4; ++client) d.ask(client, 0, 60s);
     for (const auto& start : d.all<StartAttempt>()) d.at(1ms, AttemptReady{start.id});
     for (int i = 0; i < 12; ++i) {
       d.pass(250ms);
       if (!heard) continue;
-      for (const auto& sent : d.all<Transmit>()) d.at(0ms, AttemptHeard{sent.id});
+      for (const auto& sent : d.all<Transmit>()) d.at(0ms, AttemptProgressed{sent.id});
     }
     const auto logs = d.all<Log>();
     const auto silent = [](const Log& log) { return log.text.find("is silent") != std::string::npos; };
@@ -318,14 +318,14 @@
 // Clients draw a ticket with every try. One that comes again after its answer is no request the ration of
 // further attempts could be counted by, and sent on it would run a second time under its name.
 TEST(Reducer, ATicketThatHasHadItsAnswerIsNotTakenAgain) {
-  for (const auto end : {AttemptEnd::served, AttemptEnd::turned_away}) {
+  for (const auto end : {AttemptOutcome::served, AttemptOutcome::rejected}) {
     Driven d;
-    Submission asked;
-    asked.limit = 2s;
+    ClientRequest asked;
+    asked.timeout = 2s;
     asked.ticket = "9b1f03aa5c7e2d41";
-    for (Client client = 1; client <= 3; ++client) {
+    for (ClientHandle client = 1; client <= 3; ++client) {
       asked.client = client;
-      d.at(10ms, Arrived{asked});
+      d.at(10ms, RequestArrived{asked});
       for (const auto& start : d.all<StartAttempt>()) {
         d.at(1ms, AttemptReady{start.id});
         d.finish(start.id, end);
@@ -341,7 +341,7 @@
     EXPECT_EQ(answers[2].kind, AnswerKind::failed);
     d.pass(30s);
     asked.client = 4;
-    d.at(10ms, Arrived{asked});
+    d.at(10ms, RequestArrived{asked});
     EXPECT_EQ(d.reducer.owed(), 1U);  // what is so long ago is not kept
   }
 }
