--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -20,7 +20,7 @@
       const auto sent = d.sends[i];
       to_bad += sent.engine == 8 ? 1 : 0;
       const auto n = static_cast<AttemptIndex>(d.sends_of(sent.request) - 1);
-      d.ends(sent.request, n, sent.engine, sent.engine == 8 ? Result::error : Result::served);
+      d.ends(sent.request, n, sent.engine, sent.engine == 8 ? AttemptStatus::error : AttemptStatus::served);
     }
     d.until(d.now + 20ms);
   }
@@ -36,7 +36,7 @@
   for (RequestId id = 1; id <= 20; ++id) {
     d.ask(id, 0, 5s, 0, id);
     for (int n = 0; n < d.sends_of(id); ++n)
-      d.ends(id, static_cast<AttemptIndex>(n), d.sends.back().engine, Result::error);
+      d.ends(id, static_cast<AttemptIndex>(n), d.sends.back().engine, AttemptStatus::error);
     EXPECT_EQ(d.sends_of(id), 2);
     EXPECT_EQ(d.answers(id), 1);
     d.until(d.now + 20ms);
@@ -56,7 +56,8 @@
       for (auto i = at; i < d.sends.size(); ++i) {
         const auto sent = d.sends[i];
         const auto n = static_cast<AttemptIndex>(d.sends_of(sent.request) - 1);
-        d.ends(sent.request, n, sent.engine, bad && sent.engine == 8 ? Result::error : Result::served);
+        d.ends(sent.request, n, sent.engine,
+               bad && sent.engine == 8 ? AttemptStatus::error : AttemptStatus::served);
       }
       d.until(d.now + 50ms);
     }
@@ -69,21 +70,21 @@
 
 TEST(Silence, QueriesOnASilentEngineAreTakenBackAndItGetsNoMore) {
   Settings s = plain_settings();
-  s.progress_pace = 500ms;
+  s.progress_interval = 500ms;
   Drive d(s);
   d.list({engine(7)});
   d.ask(1, 0);
   d.list({engine(7), engine(8), engine(9)});
   d.until(d.now + 1700ms);
   ASSERT_EQ(d.called_off.size(), 1U);
-  d.ends(1, 0, 7, Result::called_off);
+  d.ends(1, 0, 7, AttemptStatus::cancelled);
   ASSERT_EQ(d.sends_of(1), 2);
   EXPECT_NE(d.sends.back().engine, 7U);
 }
 
 TEST(Silence, WithoutCallOffTheEngineIsStillLeftAlone) {
   Settings s = plain_settings();
-  s.may_call_off = false;
+  s.can_cancel = false;
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 4; ++id) d.ask(id, 0);
@@ -101,8 +102,8 @@
   Drive d(plain_settings());
   d.list({engine(7)});
   d.ask(1, 0, 5s);
-  EXPECT_GT(d.sends[0].until, d.now + 4900ms);
-  EXPECT_LT(d.sends[0].until, d.now + 5s);
+  EXPECT_GT(d.sends[0].deadline, d.now + 4900ms);
+  EXPECT_LT(d.sends[0].deadline, d.now + 5s);
 }
 
 // Every gateway without a query on a full engine still sent one; with many gateways the fleet jammed.
@@ -113,10 +114,10 @@
   Drive d(s);
   d.list({engine(7)});
   d.ask(1, 0);
-  Outcome o;
+  AttemptResult o;
   o.request = 1;
   o.engine = 7;
-  o.closed = true;
+  o.request_closed = true;
   o.load = {60};
   d.at(d.now, {o});
   d.ask(2, 0);
@@ -126,14 +127,14 @@
 // One long query, far past the usual, was taken for silence: 153 times on a day without any trouble.
 TEST(Silence, OneLongQueryIsNoSilence) {
   Settings s = plain_settings();
-  s.classes[0].give_up = 60s;
+  s.classes[0].request_timeout = 60s;
   Drive d(s);
   d.list({engine(7), engine(8), engine(9)});
   d.ask(1, 0, 60s);
   const auto at = d.sends[0].engine;
   d.until(d.now + 10s);
   EXPECT_TRUE(d.called_off.empty());
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 24) << "engine " << at << " still counts";
+  EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 24) << "engine " << at << " still counts";
 }
 
 // Reports are late and the same for all: by them alone every gateway ran to one engine at once.
@@ -173,7 +174,7 @@
 // work.
 TEST(Grants, FollowTheNeedsThatAnswersTell) {
   Settings s = plain_settings();
-  s.grants = true;
+  s.memory_reservations = true;
   Drive d(s);
   d.list({engine(7)});
   const auto granted = [&d](RequestId id) {
@@ -181,16 +182,16 @@
     a.request = id;
     a.time_left = 5s;
     for (const auto& action : d.at(d.now, {a}))
-      if (const auto* terms = std::get_if<Terms>(&action)) return terms->memory_mb;
+      if (const auto* terms = std::get_if<ExecutionLimits>(&action)) return terms->memory_mb;
     return -1.0;
   };
   EXPECT_EQ(granted(1), 0) << "nothing told yet: the engine chooses";
-  Outcome o;
+  AttemptResult o;
   o.request = 1;
   o.engine = 7;
-  o.closed = true;
+  o.request_closed = true;
   o.work = 100ms;
-  o.memory_mb = 100;
+  o.memory_needed_mb = 100;
   d.at(d.now, {o});
   EXPECT_GT(granted(2), 200);
 }
@@ -198,9 +199,9 @@
 // Long classes were refused though their aim, which grows with their work, had room.
 TEST(Hold, AClassWhoseAimGrowsWithItsWorkIsHeldLonger) {
   Settings s = plain_settings();
-  s.classes[2].effect = Effect::safe;
-  s.classes[2].aim = s.classes[0].aim;
-  s.classes[2].aim_stretch = 8;
+  s.classes[2].idempotency = Idempotency::safe;
+  s.classes[2].latency_target = s.classes[0].latency_target;
+  s.classes[2].latency_target_per_work = 8;
   Drive d(s);
   d.list({});
   d.ask(1, 0);
@@ -215,8 +216,8 @@
 // Hot groups were held on nearly every engine, and most short queries stood still behind loads.
 TEST(Loads, LoadsOfAGroupShareTwoEnginesAndReadersKeepOffThem) {
   Settings s = plain_settings();
-  s.classes[1].holds_group = true;
-  s.classes[0].waits_for_group = true;
+  s.classes[1].locks_data_group = true;
+  s.classes[0].waits_for_data_group = true;
   Drive one(s, 1), two(s, 2);
   for (Drive* d : {&one, &two}) {
     d->list({engine(3), engine(4), engine(5), engine(6), engine(7)});
@@ -237,9 +238,9 @@
 TEST(SlowEngine, FarSlowerThanTheFleetItGetsFewerQueriesAndNoLoads) {
   Settings s = plain_settings();
   s.kinds = {{"one", 16, 8192}};
-  s.classes[0].waits_for_group = s.classes[2].holds_group = true;
-  s.classes[2].group = RepeatGroup::all;
-  s.tells_cost = true;
+  s.classes[0].waits_for_data_group = s.classes[2].locks_data_group = true;
+  s.classes[2].deduplication_scope = DeduplicationScope::all;
+  s.reports_cost = true;
   Drive d(s);
   d.list({engine(7), engine(8), engine(9), engine(10), engine(11)});
   std::vector<std::tuple<Time, RequestId, EngineId>> running;
@@ -265,13 +266,13 @@
         continue;
       }
       it = running.erase(it);
-      Outcome o;
+      AttemptResult o;
       o.request = request;
       o.attempt = static_cast<AttemptIndex>(d.sends_of(request) - 1);
       o.engine = to;
       o.latency = takes(to);
       o.work = 100ms;
-      o.closed = true;
+      o.request_closed = true;
       d.at(d.now, {o});
     }
   }
@@ -283,30 +284,30 @@
 
 TEST(BadPlan, AnAttemptThatWouldTakeFarTooLongIsBegunAnewOnce) {
   Settings s = plain_settings();
-  s.progress_pace = 500ms;
+  s.progress_interval = 500ms;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, 0);
   d.until(d.now + 1s);
-  d.at(d.now, {Note{1, 0, d.sends[0].engine, NoteKind::progress, 0.02}});
+  d.at(d.now, {ProgressReport{1, 0, d.sends[0].engine, ProgressKind::progress, 0.02}});
   ASSERT_EQ(d.called_off.size(), 1U);
-  d.ends(1, 0, d.sends[0].engine, Result::called_off);
+  d.ends(1, 0, d.sends[0].engine, AttemptStatus::cancelled);
   ASSERT_EQ(d.sends_of(1), 2);
   d.until(d.now + 500ms);
-  d.at(d.now, {Note{1, 1, d.sends[1].engine, NoteKind::progress, 0.01}});
+  d.at(d.now, {ProgressReport{1, 1, d.sends[1].engine, ProgressKind::progress, 0.01}});
   d.until(d.now + 500ms);
-  d.at(d.now, {Note{1, 1, d.sends[1].engine, NoteKind::progress, 0.02}});
+  d.at(d.now, {ProgressReport{1, 1, d.sends[1].engine, ProgressKind::progress, 0.02}});
   EXPECT_EQ(d.called_off.size(), 1U) << "the second time it is the query that is long";
 }
 
 TEST(BadPlan, AnUnsafeAttemptIsLeftAlone) {
   Settings s = plain_settings();
-  s.progress_pace = 500ms;
+  s.progress_interval = 500ms;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, 1);
   d.until(d.now + 1s);
-  d.at(d.now, {Note{1, 0, d.sends[0].engine, NoteKind::progress, 0.001}});
+  d.at(d.now, {ProgressReport{1, 0, d.sends[0].engine, ProgressKind::progress, 0.001}});
   EXPECT_TRUE(d.called_off.empty());
 }
 
@@ -316,24 +317,24 @@
   for (const Time answer : {5ms, 900ms}) {  // no answer for so long: the process may have ended meanwhile
     Settings s = plain_settings();
     s.gateways = 40;
-    s.may_probe = true;
+    s.can_probe = true;
     s.load_fields = {LoadField::inflight};
     Drive d(s);
     d.list({engine(7)});
     d.ask(1, 0);
     d.until(d.now + 60ms);
     ASSERT_EQ(d.sends_of(1), 1);
-    Outcome o;
+    AttemptResult o;
     o.request = 1;
     o.engine = 7;
-    o.result = Result::reset;
+    o.status = AttemptStatus::connection_reset;
     const auto actions = d.at(d.now, {o});
     const auto asked = [](const Action& a) { return std::holds_alternative<Probe>(a); };
     EXPECT_TRUE(std::ranges::any_of(actions, asked)) << "asked at once whether it is there";
     d.until(d.now + answer);
     ProbeResult p;
     p.engine = 7;
-    p.result = Result::served;
+    p.status = AttemptStatus::served;
     p.load = {1.0};
     d.at(d.now, {p});
     for (RequestId id = 2; id < 10; ++id) d.ask(id, 0);
@@ -343,12 +344,12 @@
 }
 
 TEST(Unreachable, AnEngineThatBreaksConnectionsIsTakenForColdByAllGateways) {
-  for (const auto result : {Result::not_connected, Result::reset}) {
+  for (const auto result : {AttemptStatus::connect_failed, AttemptStatus::connection_reset}) {
     int tried = 0, early = 0;
     for (unsigned i = 0; i < 40; ++i) {
       Settings s = plain_settings();
       s.gateways = 40;
-      s.me = i;
+      s.gateway_index = i;
       Drive d(s, 1 + i);
       d.list({engine(7)});
       d.ask(1, 0);
@@ -370,14 +371,14 @@
 // With no probes to ask by, one connection broken on its way rested an engine that was well, and kept it
 // cold.
 TEST(Unreachable, AnEngineHeardAfterItsConnectionBrokeIsRestedByNoSingleLoss) {
-  for (const auto result : {Result::lost, Result::reset}) {
+  for (const auto result : {AttemptStatus::query_dropped, AttemptStatus::connection_reset}) {
     Drive d(plain_settings());
     d.list({engine(7)});
     d.ask(1, 0);
     d.ends(1, 0, 7, result);
-    d.ends(1, 1, 7, Result::served);
+    d.ends(1, 1, 7, AttemptStatus::served);
     for (RequestId id = 2; id < 12; ++id) d.ask(id, 0);
-    EXPECT_EQ(d.sends.size(), result == Result::lost ? 10U : 1U);
+    EXPECT_EQ(d.sends.size(), result == AttemptStatus::query_dropped ? 10U : 1U);
   }
 }
 
@@ -388,7 +389,7 @@
   for (int n = 0; n < 40; ++n) {
     d.ask(++id, 0);
     const auto at = d.sends.back();
-    d.ends(id, 0, at.engine, at.engine == 7 ? Result::lost : Result::served);
+    d.ends(id, 0, at.engine, at.engine == 7 ? AttemptStatus::query_dropped : AttemptStatus::served);
   }
   EXPECT_LE(d.sends_to(7), 6);
 }
@@ -396,7 +397,7 @@
 TEST(ManyEngines, OneThatNothingTellsOfIsNotTakenForEmpty) {
   Settings s = plain_settings();
   s.gateways = 100;
-  s.may_probe = true;
+  s.can_probe = true;
   s.load_fields = {LoadField::inflight};
   Drive d(s);
   std::vector<EngineEntry> engines;
@@ -418,7 +419,7 @@
   for (const unsigned size : {20U, 200U}) {
     Settings s = plain_settings();
     s.gateways = 4 * size;
-    s.may_probe = s.may_tell = true;
+    s.can_probe = s.can_message_peers = true;
     s.load_fields = {LoadField::inflight};
     Drive d(s);
     std::vector<EngineEntry> engines;
@@ -431,12 +432,12 @@
       a.time_left = 5s;
       std::vector<Action> actions = d.at(d.now, {a});
       for (int tick = 0; tick < 10; ++tick) {
-        const auto more = d.at(d.wake, {Wake{}});
+        const auto more = d.at(d.wake, {TimerExpired{}});
         actions.insert(actions.end(), more.begin(), more.end());
       }
       for (const auto& action : actions) {
         probes += std::holds_alternative<Probe>(action) ? 1 : 0;
-        const auto* tell = std::get_if<Tell>(&action);
+        const auto* tell = std::get_if<SendPeerMessage>(&action);
         if (tell == nullptr) continue;
         EXPECT_TRUE(tell->to.has_value()) << "never to hundreds at once";
         bytes += tell->bytes.size();
@@ -452,7 +453,7 @@
 TEST(PeerMessages, OneThatIsMalformedIsIgnoredWhole) {
   Settings s = plain_settings();
   s.gateways = 3;
-  s.may_tell = true;
+  s.can_message_peers = true;
   const auto choice = [&s](const std::string& bytes) {
     Drive d(s);
     d.list({engine(7), engine(8)});
@@ -499,7 +500,7 @@
     for (auto* d : {&good, &bad}) {
       d->ask(id, 0, 5s, 0, id);
       ASSERT_EQ(d->sends_of(id), 1);
-      d->ends(id, 0, d->sends.back().engine, Result::served);
+      d->ends(id, 0, d->sends.back().engine, AttemptStatus::served);
     }
     emptiest += good.sends.back().engine == 20 ? 1 : 0;
     full += bad.sends.back().engine % 2 == 1 ? 1 : 0;
@@ -522,7 +523,7 @@
 TEST(ManyGateways, TheLevelByMessagesFollowsWithinTwentyMessages) {
   Settings s = plain_settings();
   s.gateways = 40;
-  s.may_tell = true;
+  s.can_message_peers = true;
   s.load_fields = {LoadField::util};
   Drive other(s), d(s, 2);
   std::vector<EngineEntry> engines;
@@ -532,8 +533,8 @@
     for (RequestId id = 100; id < 110; ++id)
       other.ask(id, 5);  // of no class: refused, but they pay for bytes
     for (int tick = 0; tick < 50; ++tick) {
-      for (const auto& action : other.at(other.wake, {Wake{}}))
-        if (const auto* tell = std::get_if<Tell>(&action)) return tell->bytes;
+      for (const auto& action : other.at(other.wake, {TimerExpired{}}))
+        if (const auto* tell = std::get_if<SendPeerMessage>(&action)) return tell->bytes;
     }
     return std::string();
   };
@@ -541,7 +542,7 @@
   ASSERT_EQ(other.sends.size(), 3U);
   const auto busy = message();
   const auto sent = other.sends;
-  for (const auto& send : sent) other.ends(send.request, 0, send.engine, Result::served);
+  for (const auto& send : sent) other.ends(send.request, 0, send.engine, AttemptStatus::served);
   const auto idle = message();
   ASSERT_NE(busy, idle);
   const auto tell = [&d](const std::string& bytes) {
@@ -562,7 +563,7 @@
   // Traffic has turned to a heavy class for good: the fleet stands between both limits.
   Settings s = plain_settings();
   s.gateways = 100;
-  s.may_probe = true;
+  s.can_probe = true;
   s.load_fields = {LoadField::inflight};
   Drive d(s);
   d.list({engine(7), engine(8)});
@@ -588,8 +589,8 @@
   for (RequestId id = 1; id <= 40; ++id) {
     d.ask(id, 0);
     ASSERT_EQ(d.sends_of(id), 1) << "still trusted at " << id;
-    if (id % 10 != 0) d.ends(id, 0, 7, Result::served);
-    if (id % 10 == 0) d.ask(100 + id, 0), d.ends(100 + id, 0, 7, Result::served);
+    if (id % 10 != 0) d.ends(id, 0, 7, AttemptStatus::served);
+    if (id % 10 == 0) d.ask(100 + id, 0), d.ends(100 + id, 0, 7, AttemptStatus::served);
     d.until(d.now + 100ms);
   }
   d.until(start + 10s);
@@ -598,7 +599,7 @@
 
 TEST(Absence, AGatewayThatHadNoTurnBlamesNoEngineAndSettlesWhatIsOverdue) {
   Settings s = plain_settings();
-  s.progress_pace = 500ms;
+  s.progress_interval = 500ms;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, 0);
@@ -607,7 +608,7 @@
   Arrival late;
   late.request = 3;
   late.time_left = 30ms;
-  d.at(d.now, {Wake{}, late});
+  d.at(d.now, {TimerExpired{}, late});
   EXPECT_TRUE(d.called_off.empty());
   d.until(d.now + 40ms);
   EXPECT_EQ(d.answers(3), 1);
@@ -619,7 +620,7 @@
   Drive d(plain_settings());
   d.list({engine(7), engine(8)});
   d.ask(1, 0);  // comes with 5 s left, as all do
-  d.ends(1, 0, d.sends.back().engine, Result::served);
+  d.ends(1, 0, d.sends.back().engine, AttemptStatus::served);
   d.now += 2s;
   Arrival old, young;
   old.request = 2;
@@ -637,8 +638,8 @@
 
 TEST(Tenants, AFloodDoesNotRaiseTheShareThatItIsMeasuredAgainst) {
   Settings s = plain_settings();
-  s.over_share_worth = 0.05;
-  s.may_probe = true;
+  s.over_share_value = 0.05;
+  s.can_probe = true;
   s.load_fields = {LoadField::inflight};
   s.tenants = {{"a", 0.5, 5}, {"b", 0.5, 5}};
   Drive d(s);
@@ -657,7 +658,7 @@
       d.at(d.now, {probe, a});
       if (d.sends_of(id) > 0) {
         ++served[a.tenant];
-        d.ends(id, 0, d.sends.back().engine, Result::served, 50ms);
+        d.ends(id, 0, d.sends.back().engine, AttemptStatus::served, 50ms);
       }
       d.until(d.now + 1000ms / (of_first + 5));
     }
@@ -679,12 +680,12 @@
   d.list({engine(7), engine(8)});
   for (int n = 0; n < 2; ++n) {
     d.ask(1 + n, 0);
-    d.ends(1 + n, 0, d.sends.back().engine, Result::reset);
+    d.ends(1 + n, 0, d.sends.back().engine, AttemptStatus::connection_reset);
   }
   d.list({engine(9)});
   d.ask(10, 0);
   EXPECT_EQ(d.sends.back().engine, 9U);
-  d.ends(10, 0, 9, Result::served);
+  d.ends(10, 0, 9, AttemptStatus::served);
   d.list({engine(7)});
   d.ask(11, 0);
   EXPECT_EQ(d.sends_of(11), 1) << "what it did long ago no longer counts";
@@ -693,19 +694,19 @@
 // Hundreds asked and withdrawn at once used up the share of the tenant's usual clients.
 TEST(Tenants, WhatIsWithdrawnBeforeItWasSentUsesNothingOfTheShare) {
   Settings s = plain_settings();
-  s.over_share_worth = 0.1;
+  s.over_share_value = 0.1;
   s.tenants = {{"a", 0.5, 10}, {"b", 0.5, 10}};
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 40; ++id) d.ask(id, 0, 20s, 0, 1);  // until queries wait
-  const auto held = [&] { return d.gateway.view(0).queued; };
+  const auto held = [&] { return d.gateway.class_stats(0).queued; };
   ASSERT_GT(held(), 0U);
   for (RequestId id = 1000; id < 1400; ++id) {
     Arrival a;
     a.request = id;
     a.tenant = 1;
     a.time_left = 5s;
-    d.at(d.now, {a, ClientLeft{id}});
+    d.at(d.now, {a, RequestCancelled{id}});
   }
   Arrival usual;
   usual.request = 5000;
@@ -718,12 +719,12 @@
 // A client that asked for what can't be answered in time, again and again, used up the share of the others.
 TEST(Tenants, WhatIsRefusedAsItComesUsesNothingOfTheShare) {
   Settings s = plain_settings();
-  s.over_share_worth = 0.1;
+  s.over_share_value = 0.1;
   s.tenants = {{"a", 0.5, 10}, {"b", 0.5, 10}};
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 40; ++id) d.ask(id, 0, 20s, 0, 1);  // until queries wait
-  ASSERT_GT(d.gateway.view(0).queued, 0U);
+  ASSERT_GT(d.gateway.class_stats(0).queued, 0U);
   for (RequestId id = 1000; id < 1400; ++id) {
     Arrival a;
     a.request = id;
@@ -745,7 +746,7 @@
   for (const std::int64_t group : {1, 2}) {
     Settings s = plain_settings();
     s.kinds = {{"large", 8, 0}, {"small", 1, 0}};
-    s.classes[1].holds_group = true;
+    s.classes[1].locks_data_group = true;
     Drive d(s);
     d.list({engine(7, 0, 0), engine(8, 0, 1)});
     d.ask(1, 1, 5s, 0, 1);
@@ -761,12 +762,12 @@
   for (RequestId id = 1; id <= most; ++id) {
     d.ask(id, 0);
     if (d.sends_of(id) == 0) return d.answers(id) == 0;
-    Outcome o;
+    AttemptResult o;
     o.request = id;
     o.engine = d.sends.back().engine;
-    o.result = Result::served;
+    o.status = AttemptStatus::served;
     o.latency = 100ms;
-    o.closed = true;
+    o.request_closed = true;
     o.load = {60};
     d.at(d.now, {o});
   }
@@ -781,7 +782,7 @@
   d.list({engine(7), engine(8)});
   ASSERT_TRUE(ask_until_held(d, 20)) << "the engines are full by their reports";
   d.until(d.now + 1600ms);
-  ASSERT_EQ(d.gateway.view(0).running, 0U);
+  ASSERT_EQ(d.gateway.class_stats(0).running_threads, 0U);
   const auto before = d.sends.size();
   for (RequestId n = 100; n < 110; ++n) d.ask(n, 0);
   EXPECT_EQ(d.sends.size() - before, 2U) << "one to each engine";
@@ -796,10 +797,10 @@
   std::vector<EngineEntry> engines;
   for (EngineId id = 1; id <= 10; ++id) engines.push_back(engine(id));
   d.list(engines);
-  d.at(d.now, {Wake{}});
+  d.at(d.now, {TimerExpired{}});
   ASSERT_TRUE(ask_until_held(d, 200)) << "the engines are full by their reports";
   d.until(d.now + 1600ms);
-  ASSERT_EQ(d.gateway.view(0).running, 0U);
+  ASSERT_EQ(d.gateway.class_stats(0).running_threads, 0U);
   const auto before = d.sends.size();
   for (RequestId n = 1000; n < 1020; ++n) d.ask(n, 0);
   EXPECT_GE(d.sends.size() - before, 1U);
@@ -809,7 +810,7 @@
 
 TEST(Tenants, AFloodIsRefusedOnceQueriesWaitAndOthersAreNot) {
   Settings s = plain_settings();
-  s.over_share_worth = 0.05;
+  s.over_share_value = 0.05;
   s.tenants = {{"calm", 0.5, 20}, {"flood", 0.5, 20}};
   Drive d(s);
   d.list({});
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -11,9 +11,9 @@
   Settings s = plain_settings();
   s.kinds = {{"one", 10, 0}};  // pool of one engine and one gateway: 20 threads
   s.classes.resize(1);
-  s.classes[0].aim = 100s;        // wait aim 30 s
-  s.classes[0].aim_stretch = 10;  // nothing is given up while the loop is watched
-  s.classes[0].give_up = 1000s;
+  s.classes[0].latency_target = 100s;         // wait aim 30 s
+  s.classes[0].latency_target_per_work = 10;  // nothing is given up while the loop is watched
+  s.classes[0].request_timeout = 1000s;
   s.max_attempts = 1;
   return s;
 }
@@ -24,20 +24,20 @@
   Drive d(s);
   d.list({engine(7)});
   d.until(d.now + 10s);
-  EXPECT_DOUBLE_EQ(d.gateway.view(0).budget, 2);
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 20);
+  EXPECT_DOUBLE_EQ(d.gateway.class_stats(0).thread_budget, 2);
+  EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 20);
 }
 
 TEST(ControlLoop, QueriesStillWaitingShowInTheMeasure) {
   Drive d(loop_settings());
   d.list({engine(7)});
-  d.list({with_state(engine(7), EngineState::draining)}, ListKind::delta);
+  d.list({with_state(engine(7), EngineState::draining)}, MembershipUpdateKind::delta);
   d.ask(1, 0, 500s);
   d.until(d.now + 60s);
   // Nothing is ready: the pool is 0, budgets stay at the least. Then the engine comes back with 20 threads,
   // and a query taken long ago has waited past the aim.
-  EXPECT_DOUBLE_EQ(d.gateway.view(0).budget, 1);
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 0);
+  EXPECT_DOUBLE_EQ(d.gateway.class_stats(0).thread_budget, 1);
+  EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 0);
 }
 
 TEST(ControlLoop, FollowsTheFormula) {
@@ -47,19 +47,20 @@
   // One engine whose every slot is taken by this class, with more queries held behind: E falls below 0.
   d.list({engine(7)});
   for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
-  ASSERT_EQ(d.gateway.view(0).queued, 1U) << "20 threads of the pool, and one held";
+  ASSERT_EQ(d.gateway.class_stats(0).queued, 1U) << "20 threads of the pool, and one held";
   // Period m ends at 2 s x m; one query is held since 0 s, so its wait is 2m seconds.
   // Period 1 also holds the 20 that went at once: mean wait 2 / 21.
   const double pool = 20, gain = -0.8 * pool / 10;
   double u = 1, before = 0;
   for (int m = 1; m <= 25; ++m) {
-    d.at(d.now, {Note{1, 0, 7, NoteKind::spill, 1}});  // a word, so that the engine is not taken for silent
+    d.at(d.now, {ProgressReport{1, 0, 7, ProgressKind::spill,
+                                1}});  // a word, so that the engine is not taken for silent
     d.until(100s + std::chrono::milliseconds(2000 * m + 19));
     const double wait = m == 1 ? 2.0 / 21 : 2.0 * m;
     const double error = (30 - wait) / 30;
     u = std::clamp(u + gain * (error - 0.3 * before), 1.0, pool);
     before = error;
-    EXPECT_NEAR(d.gateway.view(0).budget, u, 1e-6) << "period " << m;
+    EXPECT_NEAR(d.gateway.class_stats(0).thread_budget, u, 1e-6) << "period " << m;
   }
   EXPECT_GT(u, 1.0) << "the sequence must leave the lower bound";
 }
@@ -69,7 +70,7 @@
 TEST(ControlLoop, BudgetsFillByRankAndSaturationStartsFromWhatAClassGot) {
   Settings s = loop_settings();
   s.classes.push_back(s.classes[0]);
-  s.classes[1].aim = 101s;  // ranks second; wait aim 30.3 s
+  s.classes[1].latency_target = 101s;  // ranks second; wait aim 30.3 s
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
@@ -78,7 +79,7 @@
   double u[] = {1, 1}, got[] = {1, 1}, before[] = {0, 0};
   bool saturated_once = false;
   for (int m = 1; m <= 36; ++m) {
-    d.at(d.now, {Note{1, 0, 7, NoteKind::spill, 1}});
+    d.at(d.now, {ProgressReport{1, 0, 7, ProgressKind::spill, 1}});
     d.until(100s + std::chrono::milliseconds(2000 * m + 19));
     const bool saturated = u[0] + u[1] > pool;
     saturated_once = saturated_once || saturated;
@@ -91,7 +92,7 @@
     got[0] = std::min(u[0], pool);
     got[1] = std::max(1.0, std::min(u[1], pool - got[0]));
     for (ClassIndex c = 0; c < 2; ++c)
-      EXPECT_NEAR(d.gateway.view(c).budget, got[c], 1e-6) << "period " << m << " class " << c;
+      EXPECT_NEAR(d.gateway.class_stats(c).thread_budget, got[c], 1e-6) << "period " << m << " class " << c;
   }
   EXPECT_TRUE(saturated_once);
 }
@@ -99,20 +100,20 @@
 TEST(ControlLoop, ALostEngineChangesThePoolAtOnce) {
   Drive d(loop_settings());
   d.list({engine(7), engine(8)});
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 40);
-  d.list({with_state(engine(8), EngineState::gone)}, ListKind::delta);
-  EXPECT_DOUBLE_EQ(d.gateway.pool(), 20);
+  EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 40);
+  d.list({with_state(engine(8), EngineState::gone)}, MembershipUpdateKind::delta);
+  EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 20);
 }
 
 TEST(Release, TheShorterAimGoesFirstAndThenTheWorth) {
   Settings s = plain_settings();
   s.kinds = {{"one", 0.5, 0}};  // one thread
   s.classes.resize(3);
-  s.classes[0].aim = 2s;
-  s.classes[1].aim = 1s;
-  s.classes[2].aim = 1s;
-  s.classes[1].effect = s.classes[2].effect = Effect::safe;
-  s.classes[2].worth = 5;
+  s.classes[0].latency_target = 2s;
+  s.classes[1].latency_target = 1s;
+  s.classes[2].latency_target = 1s;
+  s.classes[1].idempotency = s.classes[2].idempotency = Idempotency::safe;
+  s.classes[2].value = 5;
   Drive d(s);
   d.list({engine(7)});
   for (RequestId id = 1; id <= 4; ++id) d.ask(id, 0);
@@ -122,7 +123,7 @@
   d.ask(12, 2);
   ASSERT_EQ(d.sends.size(), filled);
   for (RequestId id = 1; id <= 4 && d.sends.size() < filled + 2; ++id) {
-    if (d.sends_of(id) > 0) d.ends(id, 0, 7, Result::served);
+    if (d.sends_of(id) > 0) d.ends(id, 0, 7, AttemptStatus::served);
   }
   ASSERT_GT(d.sends.size(), filled);
   EXPECT_EQ(d.sends[filled].request, 12U);
--- a/tests/net/changelog_test.cpp
+++ b/tests/net/changelog_test.cpp
@@ -63,8 +63,8 @@
   }
   void on_turn(ev::timer&, int) {}
   void take(core::Event event) {
-    if (auto* change = std::get_if<core::FleetChange>(&event)) changes.push_back(std::move(*change));
-    if (std::holds_alternative<core::FleetQuiet>(event)) ++quiet;
+    if (auto* change = std::get_if<core::MembershipChange>(&event)) changes.push_back(std::move(*change));
+    if (std::holds_alternative<core::DiscoveryIdle>(event)) ++quiet;
   }
   void pass(core::Time time) { log.tick(now += time); }
   // The clock creeps on, so that calls leave, but stops below every limit until the next answer is in: no
@@ -88,9 +88,9 @@
 
   ev::dynamic_loop loop;
   ev::timer turn{loop};
-  config::Names names;
+  config::NameIndex names;
   core::Time now{1000s};
-  std::vector<core::FleetChange> changes;
+  std::vector<core::MembershipChange> changes;
   int quiet = 0;
   ChangeLog log;
 };
@@ -121,7 +121,7 @@
   Follower f(log.server.address());
   ASSERT_TRUE(f.until([&] { return log.askings() == 3; }, kCreep));
   EXPECT_EQ(f.engines(), (std::vector<std::uint32_t>{2, 3, 4}));
-  EXPECT_TRUE(std::ranges::all_of(f.changes, &core::FleetChange::live));
+  EXPECT_TRUE(std::ranges::all_of(f.changes, &core::MembershipChange::live));
   EXPECT_EQ(log.asked.count([](auto& p) { return p == "/changes?since=5&timeout=0"; }), 1U);
 }
 
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -95,7 +95,7 @@
   }
   ev::dynamic_loop loop;
   ev::timer turn_{loop};
-  config::Names names;
+  config::NameIndex names;
   std::uint64_t handles = 0;
   core::Time now{1000s};
   std::vector<core::Event> events;
@@ -108,14 +108,14 @@
   Fronted f;
   Client client(f.front.address());
   client.ask(1, "lookup", kSelect);
-  ASSERT_TRUE(f.until([&] { return f.count<core::Arrived>() == 1; }));
+  ASSERT_TRUE(f.until([&] { return f.count<core::RequestArrived>() == 1; }));
   f.front.run(core::Answer{1, core::AnswerKind::served, {}, "x\ty\tz\n", {}});
   f.front.stop();
   EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
   EXPECT_FALSE(client.socket.more());  // no more is written
   client.ask(2, "lookup", kSelect);
   for (int i = 0; i < 20; ++i) f.loop.run(ev::ONCE);
-  EXPECT_EQ(f.count<core::Arrived>(), 1U);
+  EXPECT_EQ(f.count<core::RequestArrived>(), 1U);
   EXPECT_FALSE(client.socket.broken());
   EXPECT_TRUE(f.front.unwritten());
   ::shutdown(client.socket.fd(), SHUT_WR);
@@ -126,9 +126,9 @@
   Fronted f;
   Client client(f.front.address());
   client.ask(1, "lookup", kSelect);
-  ASSERT_TRUE(f.until([&] { return f.count<core::Arrived>() == 1; }));
+  ASSERT_TRUE(f.until([&] { return f.count<core::RequestArrived>() == 1; }));
   f.front.stop();
-  f.front.run(core::Answer{1, core::AnswerKind::refused, 100ms, {}, {}});
+  f.front.run(core::Answer{1, core::AnswerKind::rejected, 100ms, {}, {}});
   EXPECT_EQ(client.answer()["error"]["code"], -32066);
   EXPECT_FALSE(client.socket.more());  // no more is written
 }
--- a/tests/net/engines_test.cpp
+++ b/tests/net/engines_test.cpp
@@ -8,14 +8,14 @@
 
 namespace bellstair::test {
 namespace {
-using core::AttemptEnd;
+using core::AttemptOutcome;
 
 class Driven {
  public:
   explicit Driven(HttpEngine& engine)
       : engines_(loop_, limits(), {"lookup"}, {"pending", "x1", "x0"},
                  [this](core::Event e) { events.push_back(std::move(e)); }) {
-    engines_.run(core::EngineMoved{7, engine.server.address()});
+    engines_.run(core::EngineUpdated{7, engine.server.address()});
   }
   // In each turn the driver's clock gains `step`.
   template <class T>
@@ -48,7 +48,7 @@
     wait<core::AttemptReady>();
     core::Transmit what;
     what.id = id;
-    what.wait = 5s;
+    what.timeout = 5s;
     what.ticket = "9b1f03aa5c7e2d41";
     what.body = "SELECT 1";
     engines_.run(what);
@@ -97,13 +97,13 @@
   Driven d(engine);
   d.start();
   d.until(engine, poll);
-  d.run(core::Reprioritize{d.id, 3});
+  d.run(core::SetPriority{d.id, 3});
   d.until(engine, put);
   const auto call = engine.calls.wait(put);
   EXPECT_EQ(call.path, "/v1/store/9b1f03aa5c7e2d41");
   EXPECT_EQ(call.body, "3");
   done = true;
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::served);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
 }
 
 // A DELETE that overtook its statement would leave it running, unasked.
@@ -116,12 +116,12 @@
   Driven d(engine);
   d.start();
   d.until(engine, [](const Call& c) { return c.method == "POST"; });
-  d.run(core::Abandon{d.id});
+  d.run(core::CancelAttempt{d.id});
   d.run(core::ProbeEngine{7});  // goes out on another connection, as a DELETE would
   d.wait<core::ProbeEnded>();
   EXPECT_EQ(engine.calls.count(gone), 0U);
   answer.set_value();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::withdrawn);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
   EXPECT_EQ(engine.calls.count(gone), 1U);
 }
 
@@ -135,7 +135,7 @@
   Driven d(engine);
   d.start();
   const auto ended = d.wait<core::AttemptEnded>();
-  EXPECT_EQ(ended.end, AttemptEnd::served);
+  EXPECT_EQ(ended.outcome, AttemptOutcome::served);
   EXPECT_EQ(ended.body, "x\ty\tz\n");
   EXPECT_EQ(ended.work, core::Time(5ms));
   EXPECT_EQ(engine.posts(), 1U);
@@ -152,26 +152,28 @@
   d.start();
   d.until(engine, [](const Call& c) { return c.method == "POST"; });
   d.ahead = 2s;
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::served);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
   EXPECT_EQ(engine.posts(), 1U);
   over.set_value();
 }
 
 TEST(Engines, OnlyTheMarkProvesThatNothingRan) {
-  const std::pair<std::string, AttemptEnd> kAnswers[] = {
-      {http(503, {}, "X-Shed: 1\r\n"), AttemptEnd::turned_away},
-      {http(503), AttemptEnd::error},
-      {http(504, {}, "X-Shed: 1\r\n"), AttemptEnd::expired},
-      {http(504), AttemptEnd::error},
-      {http(500), AttemptEnd::error},
-      {http(200, "x\ty\tz\n", "Result-Pages: -1\r\n"), AttemptEnd::lost},
-      {http(200, "x\ty\tz\n"), AttemptEnd::lost},
-      {http(200, "x\ty\n", "Result-Pages: 1\r\n"), AttemptEnd::lost},
-      {http(200, "x\ty\tz", "Result-Pages: 1\r\n"), AttemptEnd::lost},
-      {"HTTP/1.1 200 OK\r\nResult-Pages: 1\r\nContent-Length: 3000000000\r\n\r\nx", AttemptEnd::reset},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", AttemptEnd::reset}};
+  const std::pair<std::string, AttemptOutcome> kAnswers[] = {
+      {http(503, {}, "X-Shed: 1\r\n"), AttemptOutcome::rejected},
+      {http(503), AttemptOutcome::error},
+      {http(504, {}, "X-Shed: 1\r\n"), AttemptOutcome::expired},
+      {http(504), AttemptOutcome::error},
+      {http(500), AttemptOutcome::error},
+      {http(200, "x\ty\tz\n", "Result-Pages: -1\r\n"), AttemptOutcome::query_dropped},
+      {http(200, "x\ty\tz\n"), AttemptOutcome::query_dropped},
+      {http(200, "x\ty\n", "Result-Pages: 1\r\n"), AttemptOutcome::query_dropped},
+      {http(200, "x\ty\tz", "Result-Pages: 1\r\n"), AttemptOutcome::query_dropped},
+      {"HTTP/1.1 200 OK\r\nResult-Pages: 1\r\nContent-Length: 3000000000\r\n\r\nx",
+       AttemptOutcome::connection_reset},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", AttemptOutcome::connection_reset}};
   for (const auto& [answer, expected] : kAnswers) {
-    const bool cut = expected == AttemptEnd::reset || expected == AttemptEnd::lost;
+    const bool cut =
+        expected == AttemptOutcome::connection_reset || expected == AttemptOutcome::query_dropped;
     std::atomic<bool> told = false;
     Server server([&, bytes = answer](Socket& socket) {
       read_call(socket);
@@ -180,10 +182,12 @@
     });
     HttpEngine unused([](const Call&) { return http(500); });
     Driven d(unused);
-    d.run(core::EngineMoved{7, server.address()});
+    d.run(core::EngineUpdated{7, server.address()});
     d.still = d.clock();  // a slow machine is no silence; time passes only where the engine has to forget it
     d.start();
-    EXPECT_EQ(d.wait<core::AttemptEnded>(expected == AttemptEnd::reset ? 50ms : 0ms).end, expected) << answer;
+    EXPECT_EQ(d.wait<core::AttemptEnded>(expected == AttemptOutcome::connection_reset ? 50ms : 0ms).outcome,
+              expected)
+        << answer;
   }
 }
 
@@ -209,7 +213,7 @@
     d.until(engine, statement);
     if (answer.size() < kGood.size() && kGood.starts_with(answer)) *d.still += 1s;  // it falls silent
     const auto ended = d.wait<core::AttemptEnded>();
-    EXPECT_EQ(ended.end, AttemptEnd::served) << answer;
+    EXPECT_EQ(ended.outcome, AttemptOutcome::served) << answer;
     EXPECT_EQ(ended.body, "x\ty\tz\n");
     EXPECT_EQ(engine.posts(), 1U);
     EXPECT_EQ(engine.calls.count(poll), asked) << answer;
@@ -227,7 +231,7 @@
   });
   Driven d(engine);
   d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::lost);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::query_dropped);
 }
 
 // Idle connections are let go before the engine closes them, so that no statement crosses the close.
@@ -245,15 +249,15 @@
   });
   HttpEngine unused([](const Call&) { return http(500); });
   Driven d(unused);
-  d.run(core::EngineMoved{7, server.address()});
+  d.run(core::EngineUpdated{7, server.address()});
   d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::served);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
   d.ahead = 11s;
   d.turn();
   ended.wait([](int) { return true; });
   d.events.clear();
   d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::served);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
 }
 
 TEST(Engines, AProbeTellsTheReportAndARefusedConnectionThatNothingRan) {
@@ -263,7 +267,7 @@
   EXPECT_EQ(d.wait<core::ProbeEnded>().load, (std::vector<double>{0, 0.1, 0.1}));
   engine.server.stop();
   d.run(core::StartAttempt{d.id, 7});
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::not_connected);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::connect_failed);
 }
 
 // Answers that never come cost what is waited for them: no more than the engine's own hold, and a margin.
@@ -282,7 +286,7 @@
     d.start();
     d.until(engine, due);
     d.still = d.clock() + 450ms;
-    EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::served);
+    EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
     EXPECT_EQ(engine.calls.count(due), 2U);
   }
 }
@@ -296,7 +300,7 @@
   });
   Driven d(engine);
   d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::lost);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::query_dropped);
   EXPECT_EQ(engine.calls.count(gone), 1U);
 }
 
@@ -309,8 +313,8 @@
   Driven d(engine);
   d.start();
   d.until(engine, poll);
-  d.run(core::Abandon{d.id});
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::withdrawn);
+  d.run(core::CancelAttempt{d.id});
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
   EXPECT_EQ(engine.calls.count(gone), 3U);
 }
 
@@ -321,7 +325,7 @@
   d.start();
   d.until(engine, poll);
   broken = true;
-  EXPECT_EQ(d.wait<core::AttemptEnded>(50ms).end, AttemptEnd::reset);
+  EXPECT_EQ(d.wait<core::AttemptEnded>(50ms).outcome, AttemptOutcome::connection_reset);
   EXPECT_GT(engine.calls.count(gone), 1U);
 }
 
@@ -337,14 +341,14 @@
   Driven d(engine);
   d.start();
   d.until(engine, poll);
-  d.run(core::Abandon{d.id});
+  d.run(core::CancelAttempt{d.id});
   d.until(engine, gone);
   while (deletes < 2) {
     EXPECT_EQ(d.count<core::AttemptEnded>(), 0U);
     d.ahead += 100ms;
     d.turn();
   }
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::withdrawn);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
 }
 
 TEST(Engines, AQueryWhoseEngineIsOutOfReachIsOutUntilTheEngineHasEndedItUnasked) {
@@ -365,7 +369,7 @@
   EXPECT_EQ(d.count<core::AttemptEnded>(), 1U);
   *d.still += 200ms;
   while (d.count<core::AttemptEnded>() < 2) d.turn();
-  EXPECT_EQ(std::get<core::AttemptEnded>(d.events.back()).end, AttemptEnd::reset);
+  EXPECT_EQ(std::get<core::AttemptEnded>(d.events.back()).outcome, AttemptOutcome::connection_reset);
 }
 
 // The last call for its news is answered well while the engine is being told: its connection is free then,
@@ -389,16 +393,16 @@
       });
   HttpEngine unused([](const Call&) { return http(500); });
   Driven d(unused);
-  d.run(core::EngineMoved{7, server.address()});
+  d.run(core::EngineUpdated{7, server.address()});
   d.start();
   const auto come = [&](const char* method) {
     return calls.count([method](const std::string& call) { return call == method; }) > 0;
   };
   while (!come("GET")) d.turn();
-  d.run(core::Abandon{d.id});
+  d.run(core::CancelAttempt{d.id});
   while (!come("DELETE")) d.turn();
   abandoned.set_value();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::withdrawn);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
 }
 
 // Answers name no query: what comes late on a connection would be taken for the answer to the next call
@@ -414,7 +418,7 @@
   });
   HttpEngine unused([](const Call&) { return http(500); });
   Driven d(unused);
-  d.run(core::EngineMoved{7, server.address()});
+  d.run(core::EngineUpdated{7, server.address()});
   d.still = d.clock();
   d.start();
   EXPECT_EQ(d.wait<core::AttemptEnded>().body, "first\ty\tz\n");
@@ -438,7 +442,7 @@
   });
   HttpEngine unused([](const Call&) { return http(500); });
   Driven d(unused);
-  d.run(core::EngineMoved{7, server.address()});
+  d.run(core::EngineUpdated{7, server.address()});
   d.still = d.clock();
   d.start();
   EXPECT_EQ(d.wait<core::AttemptEnded>().body, "first\ty\tz\n");
@@ -457,7 +461,7 @@
   });
   Driven d(engine);
   d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::served);
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
 }
 
 TEST(Engines, AStatementThatComesAfterItsDeleteIsDeletedOnceMore) {
@@ -470,8 +474,8 @@
   Driven d(engine);
   d.start();
   d.until(engine, [](const Call& c) { return c.method == "POST"; });
-  d.run(core::Abandon{d.id});
-  EXPECT_EQ(d.wait<core::AttemptEnded>().end, AttemptEnd::withdrawn);
+  d.run(core::CancelAttempt{d.id});
+  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
   EXPECT_EQ(engine.calls.count(gone), 2U);
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -32,11 +32,11 @@
   d.list({engine(7)});
   d.ask(1, kOnce, 1s);
   ASSERT_EQ(d.sends_of(1), 1);
-  EXPECT_LT(d.sends[0].until, d.now + 1s);
+  EXPECT_LT(d.sends[0].deadline, d.now + 1s);
   d.until(d.now + 1s);
   EXPECT_EQ(d.failed[1], 1);
   EXPECT_EQ(d.refused[1], 0);
-  d.ends(1, 0, 7, Result::called_off);
+  d.ends(1, 0, 7, AttemptStatus::cancelled);
   d.until(d.now + 3s);
   EXPECT_EQ(d.answers(1), 1);
   EXPECT_EQ(d.sends_of(1), 1);
@@ -46,12 +46,12 @@
   Drive d(plain_settings());
   d.list({engine(7)});
   d.ask(1, kQuick);
-  ASSERT_EQ(d.gateway.view(kQuick).running, 1U);
-  d.at(d.now, {ClientLeft{1}});
-  EXPECT_EQ(d.gateway.view(kQuick).running, 1U) << "the engine may still work on it";
-  d.ends(1, 0, 7, Result::error);
-  d.ends(1, 0, 7, Result::error);
-  EXPECT_EQ(d.gateway.view(kQuick).running, 0U);
+  ASSERT_EQ(d.gateway.class_stats(kQuick).running_threads, 1U);
+  d.at(d.now, {RequestCancelled{1}});
+  EXPECT_EQ(d.gateway.class_stats(kQuick).running_threads, 1U) << "the engine may still work on it";
+  d.ends(1, 0, 7, AttemptStatus::error);
+  d.ends(1, 0, 7, AttemptStatus::error);
+  EXPECT_EQ(d.gateway.class_stats(kQuick).running_threads, 0U);
   EXPECT_EQ(d.answers(1), 0);
   EXPECT_EQ(d.sends_of(1), 1);
 }
@@ -65,7 +65,7 @@
 
 // ---- no effect twice ------------------------------------------------------------------------------------
 
-class AfterOutcome : public ::testing::TestWithParam<std::pair<Result, bool>> {};
+class AfterOutcome : public ::testing::TestWithParam<std::pair<AttemptStatus, bool>> {};
 
 TEST_P(AfterOutcome, AnUnsafeRequestIsSentAgainOnlyIfItNeverRan) {
   const auto [result, again] = GetParam();
@@ -81,19 +81,21 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(AllOutcomes, AfterOutcome,
-                         ::testing::Values(std::pair{Result::turned_away, true},
-                                           std::pair{Result::not_connected, true},
-                                           std::pair{Result::moot, true}, std::pair{Result::error, false},
-                                           std::pair{Result::timed_out, false},
-                                           std::pair{Result::reset, false}, std::pair{Result::lost, false},
-                                           std::pair{Result::called_off, false}));
+                         ::testing::Values(std::pair{AttemptStatus::rejected, true},
+                                           std::pair{AttemptStatus::connect_failed, true},
+                                           std::pair{AttemptStatus::expired, true},
+                                           std::pair{AttemptStatus::error, false},
+                                           std::pair{AttemptStatus::timed_out, false},
+                                           std::pair{AttemptStatus::connection_reset, false},
+                                           std::pair{AttemptStatus::query_dropped, false},
+                                           std::pair{AttemptStatus::cancelled, false}));
 
 TEST(Effects, AKeyedRequestThatMayHaveRunStaysInItsZone) {
   Drive d(plain_settings());
   d.list({engine(7, 0)});
   d.ask(1, kKeyed);
   d.list({engine(7, 0), engine(8, 1)});
-  d.ends(1, 0, 7, Result::error);
+  d.ends(1, 0, 7, AttemptStatus::error);
   d.until(d.now + 300ms);
   ASSERT_EQ(d.sends_of(1), 2);
   EXPECT_EQ(d.sends.back().engine, 7U);
@@ -105,7 +107,7 @@
     d.list({engine(7, 0)});
     d.ask(1, kKeyed);
     d.until(d.now + (late ? 2000ms : 1900ms));
-    d.ends(1, 0, 7, Result::error);
+    d.ends(1, 0, 7, AttemptStatus::error);
     EXPECT_EQ(d.sends_of(1), late ? 1 : 2);
     EXPECT_EQ(d.failed[1], late ? 1 : 0) << "a refusal would promise too much";
   }
@@ -113,7 +115,7 @@
 
 TEST(Effects, NeverTwoAttemptsOut) {
   Settings s = plain_settings();
-  s.progress_pace = 500ms;
+  s.progress_interval = 500ms;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, kQuick);
@@ -121,7 +123,7 @@
   d.until(d.now + 3s);  // silent: called off, but no word of that yet
   ASSERT_FALSE(d.called_off.empty());
   EXPECT_EQ(d.sends_of(1), 1);
-  d.ends(1, 0, d.sends[0].engine, Result::called_off);
+  d.ends(1, 0, d.sends[0].engine, AttemptStatus::cancelled);
   EXPECT_EQ(d.sends_of(1), 2);
 }
 
@@ -131,7 +133,7 @@
   d.ask(1, kQuick);
   for (AttemptIndex n = 0; n < 3; ++n) {
     ASSERT_EQ(d.sends_of(1), n + 1);
-    d.ends(1, n, d.sends.back().engine, Result::timed_out);
+    d.ends(1, n, d.sends.back().engine, AttemptStatus::timed_out);
   }
   EXPECT_EQ(d.sends_of(1), 3);
   EXPECT_EQ(d.refused[1], 1);
@@ -143,8 +145,8 @@
   Drive d(plain_settings());
   d.list({engine(7), engine(8), engine(9), engine(10)});
   d.list({with_state(engine(7), EngineState::draining), with_state(engine(8), EngineState::gone)},
-         ListKind::delta);
-  d.list({}, ListKind::failed);
+         MembershipUpdateKind::delta);
+  d.list({}, MembershipUpdateKind::failed);
   for (RequestId id = 1; id <= 4; ++id) d.ask(id, kQuick);
   EXPECT_EQ(d.sends_to(7) + d.sends_to(8), 0);
   d.list({engine(9)});
@@ -155,11 +157,11 @@
 
 TEST(Drains, AnEngineThatIsListedAgainGetsWork) {
   Drive d(plain_settings());
-  d.list({engine(7)}, ListKind::cached);
-  d.list({with_state(engine(7), EngineState::gone)}, ListKind::delta);
+  d.list({engine(7)}, MembershipUpdateKind::cached);
+  d.list({with_state(engine(7), EngineState::gone)}, MembershipUpdateKind::delta);
   d.ask(1, kQuick);
   EXPECT_EQ(d.sends_of(1), 0);
-  d.list({engine(7)}, ListKind::delta);
+  d.list({engine(7)}, MembershipUpdateKind::delta);
   EXPECT_EQ(d.sends_of(1), 1);
 }
 
@@ -173,7 +175,7 @@
   s.gateways = GetParam();
   std::vector<Drive> gateways;
   for (unsigned i = 0; i < s.gateways; ++i) {
-    s.me = i;
+    s.gateway_index = i;
     gateways.emplace_back(s, 1000 + i);
     auto cold = engine(7);
     cold.last_start = gateways.back().now - 1s;
@@ -188,7 +190,7 @@
         d.ask(++id, kQuick);
         const bool sent = d.sends_of(id) > 0;
         if (sent && d.sends.back().engine == 7) work[d.now] += 0.5;
-        if (sent) d.ends(id, 0, d.sends.back().engine, Result::served, 500ms);
+        if (sent) d.ends(id, 0, d.sends.back().engine, AttemptStatus::served, 500ms);
       }
       const auto before = d.sends.size();
       d.until(d.now + 20ms);
@@ -223,8 +225,8 @@
 
 TEST(Order, OneAtATimeByKeyAndARestAfterATimeOut) {
   Settings s = plain_settings();
-  s.classes[kQuick].in_order = true;
-  s.order_rest = 300ms;
+  s.classes[kQuick].ordered_by_key = true;
+  s.order_quiet_period = 300ms;
   s.max_attempts = 1;
   Drive d(s);
   d.list({engine(7), engine(8)});
@@ -237,7 +239,7 @@
   EXPECT_EQ(d.sends_of(3), 1);
   EXPECT_EQ(d.sends_of(4), 1);
   const Time over = d.now;
-  d.ends(1, 0, d.sends[0].engine, Result::timed_out);
+  d.ends(1, 0, d.sends[0].engine, AttemptStatus::timed_out);
   d.until(over + 280ms);
   EXPECT_EQ(d.sends_of(2), 0);
   d.until(over + 320ms);
@@ -247,15 +249,15 @@
 // The statement of a lost query may still be on its way to an engine that does not know it yet.
 TEST(Order, AKeyRestsAfterALostQueryToo) {
   Settings s = plain_settings();
-  s.classes[kQuick].in_order = true;
-  s.order_rest = 300ms;
+  s.classes[kQuick].ordered_by_key = true;
+  s.order_quiet_period = 300ms;
   s.max_attempts = 1;
   Drive d(s);
   d.list({engine(7), engine(8)});
   d.ask(1, kQuick, 5s, 42);
   d.ask(2, kQuick, 5s, 42);
   const Time over = d.now;
-  d.ends(1, 0, d.sends[0].engine, Result::lost);
+  d.ends(1, 0, d.sends[0].engine, AttemptStatus::query_dropped);
   d.until(over + 280ms);
   EXPECT_EQ(d.sends_of(2), 0);
   d.until(over + 320ms);
@@ -264,26 +266,26 @@
 
 TEST(Order, AnEarlierOneThatClosedWithItsAttemptOutStillHoldsTheKey) {
   Settings s = plain_settings();
-  s.classes[kQuick].in_order = true;
+  s.classes[kQuick].ordered_by_key = true;
   Drive d(s);
   d.list({engine(7)});
   d.ask(1, kQuick, 5s, 42);
   d.ask(2, kQuick, 5s, 42);
-  d.at(d.now, {ClientLeft{1}});
+  d.at(d.now, {RequestCancelled{1}});
   EXPECT_EQ(d.sends_of(2), 0);
-  d.ends(1, 0, 7, Result::error);
+  d.ends(1, 0, 7, AttemptStatus::error);
   EXPECT_EQ(d.sends_of(2), 1);
 }
 
 TEST(Placement, HoldsAtEveryAttemptAndWhenAllAllowedAreGone) {
   Settings s = plain_settings();
-  s.classes[kQuick].zones = {{1}};
-  s.classes[kQuick].kinds = {{1}};
+  s.classes[kQuick].allowed_zones = {{1}};
+  s.classes[kQuick].allowed_kinds = {{1}};
   Drive d(s);
   d.list({engine(7, 1, 0), engine(8, 0, 1), engine(9, 1, 1), engine(10, 1, 1)});
   d.ask(1, kQuick);
-  d.ends(1, 0, d.sends.back().engine, Result::timed_out);
-  d.ends(1, 1, d.sends.back().engine, Result::timed_out);
+  d.ends(1, 0, d.sends.back().engine, AttemptStatus::timed_out);
+  d.ends(1, 1, d.sends.back().engine, AttemptStatus::timed_out);
   EXPECT_EQ(d.sends_of(1), 3);
   EXPECT_EQ(d.sends_to(7) + d.sends_to(8), 0);
   d.list({engine(7, 1, 0), engine(8, 0, 1)});
@@ -303,10 +305,10 @@
     const auto first = d.sends.back();
     if (first.request != id) return false;
     const auto before = d.sends.size();
-    d.ends(id, 0, first.engine, Result::turned_away);
+    d.ends(id, 0, first.engine, AttemptStatus::rejected);
     d.until(d.now + 400ms);
     const bool again = d.sends.size() > before;
-    if (again) d.ends(id, 1, d.sends.back().engine, Result::served);
+    if (again) d.ends(id, 1, d.sends.back().engine, AttemptStatus::served);
     return again;
   };
   EXPECT_TRUE(retried(1));   // 1 <= 1 + 0.2
@@ -331,7 +333,7 @@
     EXPECT_NE(std::string(error.what()).find("gateways"), std::string::npos);
   }
   s = plain_settings();
-  s.classes[0].aim = 0s;
+  s.classes[0].latency_target = 0s;
   EXPECT_THROW(Gateway(s, 1), std::invalid_argument);
   s = plain_settings();
   s.kinds.clear();
--- a/tests/start_clock_test.cpp
+++ b/tests/start_clock_test.cpp
@@ -63,28 +63,28 @@
     settings.kinds = {{"std-8", 8, 16384}};
     heronwell::ClassSettings lookup;
     lookup.name = "lookup";
-    lookup.aim = 1s;
-    lookup.give_up = 5s;
+    lookup.latency_target = 1s;
+    lookup.request_timeout = 5s;
     settings.classes = {lookup};
-    settings.cold_from = 0.3;
-    settings.ramp_time = 15s;
-    settings.tip_multiple = 2.5;
-    settings.tip_window = 2s;
+    settings.slow_start_initial_share = 0.3;
+    settings.slow_start_duration = 15s;
+    settings.overload_multiple = 2.5;
+    settings.overload_window = 2s;
     Reducer reducer(settings, 1, std::size_t{1} << 20, offset);
     Member cold;
     cold.entry.engine = 7;
     cold.entry.last_start = kUnixNow;
     cold.address = "127.0.0.1:1";
     Effects effects;
-    reducer.reduce(kNow, FleetChange{true, {cold}, false}, effects);
+    reducer.reduce(kNow, MembershipChange{true, {cold}, false}, effects);
     std::vector<std::pair<Time, AttemptId>> running;
-    Client client = 0;
+    ClientHandle client = 0;
     for (Time now = kNow; now < kNow + 2s; now += Reducer::kTick) {
-      Submission asked;
+      ClientRequest asked;
       asked.client = ++client;
-      asked.limit = 5s;
+      asked.timeout = 5s;
       effects.clear();
-      reducer.reduce(now, Arrived{asked}, effects);
+      reducer.reduce(now, RequestArrived{asked}, effects);
       reducer.reduce(now, Tick{}, effects);
       Effects unused;
       for (const auto& effect : effects) {
@@ -96,7 +96,7 @@
       for (const auto& [since, id] : running) {
         AttemptEnded ended;
         ended.id = id;
-        ended.end = AttemptEnd::served;
+        ended.outcome = AttemptOutcome::served;
         if (now - since == kRunTime) reducer.reduce(now, ended, unused);
       }
     }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -54,10 +54,10 @@
   const auto& arrival = std::get<Arrival>(std::get<Event>(got.records[0].what));
   EXPECT_EQ(arrival.request, 0x5d3a91c4U);
   EXPECT_EQ(arrival.time_left, std::chrono::milliseconds(240));
-  EXPECT_EQ(arrival.memory_mb, 384);
+  EXPECT_EQ(arrival.estimated_memory_mb, 384);
   EXPECT_EQ(arrival.data_group, 11);
-  ASSERT_TRUE(arrival.cost.has_value());
-  EXPECT_EQ(*arrival.cost, std::chrono::milliseconds(12));
+  ASSERT_TRUE(arrival.estimated_work.has_value());
+  EXPECT_EQ(*arrival.estimated_work, std::chrono::milliseconds(12));
 }
 
 TEST(Wire, ReadsListsAndTheirRows) {
@@ -86,8 +86,8 @@
   Reader reader;
   const auto got = reader.read(batch(3, body));
   ASSERT_EQ(got.records.size(), 1U);
-  const auto& list = std::get<Listing>(std::get<Event>(got.records[0].what));
-  EXPECT_EQ(list.kind, ListKind::cached);
+  const auto& list = std::get<MembershipUpdate>(std::get<Event>(got.records[0].what));
+  EXPECT_EQ(list.kind, MembershipUpdateKind::cached);
   ASSERT_EQ(list.engines.size(), 2U);
   EXPECT_EQ(list.engines[0].engine, 0x03124a07U);
   EXPECT_EQ(list.engines[1].state, EngineState::draining);
@@ -106,11 +106,11 @@
           "00");
   Reader reader;
   const auto got = reader.read(batch(2, body));
-  const auto& outcome = std::get<Outcome>(std::get<Event>(got.records[0].what));
-  EXPECT_EQ(outcome.result, Result::served);
-  EXPECT_TRUE(outcome.closed);
+  const auto& outcome = std::get<AttemptResult>(std::get<Event>(got.records[0].what));
+  EXPECT_EQ(outcome.status, AttemptStatus::served);
+  EXPECT_TRUE(outcome.request_closed);
   EXPECT_EQ(*outcome.work, std::chrono::milliseconds(17));
-  EXPECT_EQ(outcome.memory_mb, 4.0 * 0x060);
+  EXPECT_EQ(outcome.memory_needed_mb, 4.0 * 0x060);
 }
 
 TEST(Wire, EveryTruncationOfARecordIsRefused) {
@@ -186,8 +186,8 @@
   EXPECT_EQ(s.gateways, 3U);
   EXPECT_EQ(s.kinds[0].cores, 12);
   EXPECT_EQ(s.classes[0].threads, 4U);
-  EXPECT_EQ(s.classes[0].aim, std::chrono::milliseconds(800));
-  ASSERT_TRUE(s.classes[0].kinds.has_value());
+  EXPECT_EQ(s.classes[0].latency_target, std::chrono::milliseconds(800));
+  ASSERT_TRUE(s.classes[0].allowed_kinds.has_value());
   EXPECT_FALSE(s.retry_budget.has_value());
 }
 
