--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -36,12 +36,12 @@
   return sockets > clients + 8 ? sockets - clients : 8;
 }
 
-net::Pool::Limits limits(const config::Config& config) {
-  net::Pool::Limits out;
-  out.most = engine_share(config.max_descriptors);
-  out.dial_timeout = config.connect_timeout;
+net::ConnectionPool::Limits limits(const config::Config& config) {
+  net::ConnectionPool::Limits out;
+  out.max_connections = engine_share(config.max_descriptors);
+  out.connect_timeout = config.connect_timeout;
   // Well before the engine closes it: a call must not cross the close.
-  out.idle_life = config.idle_timeout / 2;
+  out.idle_timeout = config.idle_timeout / 2;
   return out;
 }
 
@@ -69,7 +69,7 @@
 }
 }  // namespace
 
-net::Post Broker::poster() {
+net::EventSink Broker::poster() {
   return [this](core::Event event) { post(std::move(event)); };
 }
 
@@ -79,14 +79,14 @@
     return std::make_unique<mysql::Engines>(loop_, limits(config_), *fronts_.mysql_engines, names.class_names,
                                             poster());
   auto calm = limits(config_);
-  calm.settle = 20ms;  // a second answer may come some milliseconds after the first
+  calm.reuse_delay = 20ms;  // a second answer may come some milliseconds after the first
   return std::make_unique<platform::Engines>(loop_, calm, names.class_names, names.load_fields, poster());
 }
 
 // Of interest only once the program is about to end.
 bool Broker::unwritten() const {
   if (reducer_.lifecycle().phase() < core::Phase::draining) return false;
-  return front_->unwritten() || (mysql_ && mysql_->unwritten());
+  return front_->has_unsent_output() || (mysql_ && mysql_->unwritten());
 }
 
 Broker::Broker(ev::loop_ref loop, config::Config config, config::Fronts fronts, std::string file)
@@ -191,8 +191,8 @@
   if (turns_behind_ > 0 && --turns_behind_ > 0) return call_.start(0, 0);  // another turn, without a sleep
   do {
     pump();
-    engines_->settle();
-    front_->settle();
+    engines_->process_pending();
+    front_->release_closed();
     if (mysql_) mysql_->settle();
   } while (!events_.empty());
   const auto due = reducer_.next_call();
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -41,7 +41,7 @@
   void read_configuration(bool tell_problem);
   void pump();
   void admit(core::ClientRequest& asked);
-  [[nodiscard]] net::Post poster();
+  [[nodiscard]] net::EventSink poster();
   [[nodiscard]] std::unique_ptr<net::EngineDriver> make_engines();
   [[nodiscard]] bool unwritten() const;
 
@@ -55,7 +55,7 @@
   void run(const core::SendToPeers& effect) { peers_.run(effect); }
   void run(const core::Log& effect);
   void run(const core::ReadConfiguration&);
-  void run(const core::WatchChangeLog& effect) { changelog_.follow(effect.address); }
+  void run(const core::WatchChangeLog& effect) { changelog_.set_address(effect.address); }
   void run(const core::Exit&);
 
   ev::loop_ref loop_;
--- a/src/mysql/engines.cpp
+++ b/src/mysql/engines.cpp
@@ -36,8 +36,8 @@
   [[nodiscard]] bool attributes() const { return (capabilities & kQueryAttributes) != 0; }
 };
 
-Engines::Engines(ev::loop_ref loop, net::Pool::Limits limits, config::MysqlEngines account,
-                 std::vector<std::string> class_names, net::Post post)
+Engines::Engines(ev::loop_ref loop, net::ConnectionPool::Limits limits, config::MysqlEngines account,
+                 std::vector<std::string> class_names, net::EventSink post)
     : pool_(loop, limits,
             [this](Connection& c, std::function<void(bool)> done) { greet(c, std::move(done)); }),
       account_(std::move(account)),
@@ -48,7 +48,7 @@
 
 void Engines::greet(Connection& connection, std::function<void(bool)> done) {
   connection.session = std::make_unique<Session>();
-  connection.data = [this, &connection, done = std::move(done)](std::string_view bytes) {
+  connection.on_data = [this, &connection, done = std::move(done)](std::string_view bytes) {
     const auto finished = done;  // the handler may be replaced from within
     auto& session = static_cast<Session&>(*connection.session);
     session.reader.feed(bytes);
@@ -100,7 +100,7 @@
 // ---- effects
 
 void Engines::run(const core::EngineUpdated& effect) {
-  effect.usable ? pool_.place(effect.engine, effect.address) : pool_.retire(effect.engine);
+  effect.usable ? pool_.set_address(effect.engine, effect.address) : pool_.remove_engine(effect.engine);
   if (effect.accepting) return;
   // A statement that is being prepared has not been sent yet, and must not be once the engine drains.
   std::vector<AttemptId> unsent;
@@ -132,8 +132,8 @@
     auto& taken = attempts_.at(id);
     taken.connection = connection;
     taken.stage = Stage::ready;
-    connection->data = [this, id](std::string_view bytes) { take(id, bytes); };
-    connection->lost = [this, id](bool) { lost(id); };
+    connection->on_data = [this, id](std::string_view bytes) { take(id, bytes); };
+    connection->on_lost = [this, id](bool) { lost(id); };
     post_(core::AttemptReady{id});
   });
 }
@@ -187,7 +187,7 @@
   auto& attempt = found->second;
   switch (attempt.stage) {
     case Stage::waiting:
-      pool_.withdraw(attempt.engine, attempt.ticket);
+      pool_.cancel(attempt.engine, attempt.ticket);
       return end(id, AttemptOutcome::expired);
     case Stage::ready:
       return end(id, AttemptOutcome::expired);
@@ -235,7 +235,7 @@
       done(true, false);
     };
     patience_.arm(now_ + kAside, serial);
-    connection->data = [this, connection, serial, &session, done](std::string_view bytes) {
+    connection->on_data = [this, connection, serial, &session, done](std::string_view bytes) {
       const auto told = done;
       session.reader.feed(bytes);
       bool whole = false;
@@ -248,7 +248,7 @@
       session.reader.buffered() == 0 ? pool_.release(*connection) : pool_.discard(*connection);
       told(true, true);
     };
-    connection->lost = [this, serial](bool) {
+    connection->on_lost = [this, serial](bool) {
       const auto found = overdue_.find(serial);
       if (found == overdue_.end()) return;
       const auto give_up = std::move(found->second);
--- a/src/mysql/engines.hpp
+++ b/src/mysql/engines.hpp
@@ -20,8 +20,8 @@
 
 class Engines : public net::EngineDriver {
  public:
-  Engines(ev::loop_ref loop, net::Pool::Limits limits, config::MysqlEngines account,
-          std::vector<std::string> class_names, net::Post post);
+  Engines(ev::loop_ref loop, net::ConnectionPool::Limits limits, config::MysqlEngines account,
+          std::vector<std::string> class_names, net::EventSink post);
 
   void run(const core::StartAttempt& effect) override;
   void run(core::Transmit& effect) override;
@@ -29,11 +29,11 @@
   void run(const core::SetPriority&) override {}  // the protocol knows no priorities
   void run(const core::ProbeEngine& effect) override;
   void run(const core::EngineUpdated& effect) override;
-  void settle() override { pool_.settle(); }
+  void process_pending() override { pool_.process_pending(); }
   void tick(core::Time now) override;
 
  private:
-  using Connection = net::Pool::Connection;
+  using Connection = net::ConnectionPool::Connection;
   enum class Stage { waiting, ready, preparing, executing, leaving };
   struct Session;
   struct Attempt {
@@ -66,10 +66,10 @@
   // and whether it was answered.
   void aside(core::EngineId engine, std::string payload, std::function<void(bool had, bool answered)> done);
 
-  net::Pool pool_;
+  net::ConnectionPool pool_;
   config::MysqlEngines account_;
   std::vector<std::string> class_names_;
-  net::Post post_;
+  net::EventSink post_;
   std::map<core::AttemptId, Attempt> attempts_;
   std::unordered_map<std::uint64_t, std::function<void()>> overdue_;
   core::TimerWheel<std::uint64_t> patience_{std::chrono::milliseconds(5)};
--- a/src/mysql/front.cpp
+++ b/src/mysql/front.cpp
@@ -59,15 +59,15 @@
   connection.serial = ++serial_;
   connection.nonce = new_nonce();
   connections_.emplace(connection.serial, std::move(made));
-  connection.stream.handle({
+  connection.stream.set_handlers({
       .connected = {},
       .data =
           [this, &connection](std::string_view bytes) {
             connection.reader.feed(bytes);
-            if (connection.reader.buffered() > kMostBuffered) connection.stream.pause(true);
+            if (connection.reader.buffered() > kMostBuffered) connection.stream.pause_reading(true);
             take(connection);
           },
-      .ended = [this, &connection] { close(connection); },
+      .end_of_input = [this, &connection] { close(connection); },
       .closed = [this, &connection] { close(connection); },
       .drained =
           [this, &connection] {
@@ -106,7 +106,7 @@
   }
   connection.taking = false;
   if (connection.stream.open() && connection.reader.buffered() <= kMostBuffered)
-    connection.stream.pause(false);
+    connection.stream.pause_reading(false);
 }
 
 void Front::take(Connection& connection, const Packet& packet) {
@@ -314,7 +314,7 @@
 void Front::refuse(Connection& connection, const Error& error) {
   send_error(connection, error);
   connection.closing = true;
-  if (connection.stream.unwritten() == 0) close(connection);
+  if (connection.stream.unsent_bytes() == 0) close(connection);
 }
 
 void Front::close(Connection& connection) {
@@ -330,7 +330,7 @@
 }
 
 bool Front::unwritten() const {
-  return std::ranges::any_of(connections_, [](const auto& c) { return c.second->stream.unwritten() > 0; });
+  return std::ranges::any_of(connections_, [](const auto& c) { return c.second->stream.unsent_bytes() > 0; });
 }
 
 }  // namespace bellstair::mysql
--- a/src/net/driver.hpp
+++ b/src/net/driver.hpp
@@ -7,7 +7,7 @@
 
 namespace bellstair::net {
 
-using Post = std::function<void(core::Event)>;
+using EventSink = std::function<void(core::Event)>;
 
 class EngineDriver {
  public:
@@ -18,7 +18,7 @@
   virtual void run(const core::SetPriority& effect) = 0;
   virtual void run(const core::ProbeEngine& effect) = 0;
   virtual void run(const core::EngineUpdated& effect) = 0;
-  virtual void settle() = 0;  // once in each turn of the loop
+  virtual void process_pending() = 0;  // once in each turn of the loop
   virtual void tick(core::Time now) = 0;
 };
 
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -11,10 +11,10 @@
 constexpr std::size_t kCutOff = 3;  // dials broken off in a row before an engine counts as not to be reached
 }  // namespace
 
-Pool::Pool(ev::loop_ref loop, Limits limits, Greeter greeter)
+ConnectionPool::ConnectionPool(ev::loop_ref loop, Limits limits, Handshake greeter)
     : loop_(loop), limits_(limits), greeter_(std::move(greeter)) {}
 
-void Pool::place(std::uint32_t id, const std::string& address) {
+void ConnectionPool::set_address(std::uint32_t id, const std::string& address) {
   auto& engine = engines_[id];
   // Idle connections to an address that it has left may lead to another engine by now.
   if (engine.address != address) {
@@ -24,26 +24,26 @@
   engine.usable = true;
 }
 
-void Pool::retire(std::uint32_t id) {
+void ConnectionPool::remove_engine(std::uint32_t id) {
   auto& engine = engines_[id];
   engine.usable = false;
   while (!engine.idle.empty()) remove(*engine.idle.front());
   stirred_.push_back(id);
 }
 
-std::uint64_t Pool::acquire(std::uint32_t id, Taker taker) {
+std::uint64_t ConnectionPool::acquire(std::uint32_t id, AcquireCallback taker) {
   engines_[id].waiting.push_back({++tickets_, std::move(taker)});
   stirred_.push_back(id);
   return tickets_;
 }
 
-void Pool::withdraw(std::uint32_t id, std::uint64_t ticket) {
+void ConnectionPool::cancel(std::uint32_t id, std::uint64_t ticket) {
   std::erase_if(engines_[id].waiting, [ticket](const Waiter& w) { return w.ticket == ticket; });
 }
 
-void Pool::release(Connection& connection) {
-  connection.data = nullptr;
-  connection.lost = nullptr;
+void ConnectionPool::release(Connection& connection) {
+  connection.on_data = nullptr;
+  connection.on_lost = nullptr;
   auto& engine = engines_[connection.engine];
   if (!connection.stream.open() || (!engine.usable && engine.waiting.empty())) return remove(connection);
   connection.idle = true;
@@ -52,12 +52,12 @@
   stirred_.push_back(connection.engine);
 }
 
-void Pool::discard(Connection& connection) {
+void ConnectionPool::discard(Connection& connection) {
   connection.stream.abort();
   remove(connection);
 }
 
-void Pool::remove(Connection& connection) {
+void ConnectionPool::remove(Connection& connection) {
   auto& engine = engines_[connection.engine];
   if (connection.idle) std::erase(engine.idle, &connection);
   if (!connection.ready) --engine.dialling;
@@ -69,17 +69,17 @@
   if (starved_) stir();
 }
 
-void Pool::stir() {
+void ConnectionPool::stir() {
   starved_ = false;
   for (const auto& [id, engine] : engines_) {
     if (!engine.waiting.empty()) stirred_.push_back(id);
   }
 }
 
-bool Pool::make_room() { return connections_.size() < limits_.most || evict(); }
+bool ConnectionPool::make_room() { return connections_.size() < limits_.max_connections || evict(); }
 
 // Closes the connection that has been idle for longest.
-bool Pool::evict() {
+bool ConnectionPool::evict() {
   Connection* oldest = nullptr;
   for (auto& [id, engine] : engines_) {
     if (!engine.idle.empty() && (oldest == nullptr || engine.idle.front()->since < oldest->since))
@@ -90,7 +90,7 @@
   return oldest != nullptr;
 }
 
-bool Pool::dial(std::uint32_t id, Engine& engine) {
+bool ConnectionPool::dial(std::uint32_t id, Engine& engine) {
   const auto address = parse_address(engine.address);
   errno = 0;
   auto fd = address ? begin_connect(*address) : Fd();
@@ -107,15 +107,15 @@
     return true;
   }
   const auto serial = ++serial_;
-  auto made = std::make_unique<Connection>(loop_, std::move(fd), limits_.most_unwritten);
+  auto made = std::make_unique<Connection>(loop_, std::move(fd), limits_.max_unsent_bytes);
   auto& connection = *made;
   connection.serial = serial;
   connection.engine = id;
   connection.since = now_;
   connections_.emplace(serial, std::move(made));
   ++engine.dialling;
-  dials_.arm(now_ + limits_.dial_timeout, serial);
-  connection.stream.handle({
+  dials_.arm(now_ + limits_.connect_timeout, serial);
+  connection.stream.set_handlers({
       .connected =
           [this, &connection] {
             if (!greeter_) return dialled(connection, true);
@@ -124,11 +124,11 @@
       .data =
           [this, &connection](std::string_view bytes) {
             engines_[connection.engine].heard = now_;
-            if (!connection.data) return lose(connection, false);  // nobody asked
-            const auto data = connection.data;                     // it may be replaced from within
+            if (!connection.on_data) return lose(connection, false);  // nobody asked
+            const auto data = connection.on_data;                     // it may be replaced from within
             data(bytes);
           },
-      .ended =
+      .end_of_input =
           [this, &connection] {
             if (!connection.ready) return dialled(connection, false);
             lose(connection, true);
@@ -143,34 +143,35 @@
   return true;
 }
 
-void Pool::lose(Connection& connection, bool clean) {
-  if (!connection.lost) {
+void ConnectionPool::lose(Connection& connection, bool clean) {
+  if (!connection.on_lost) {
     ++counts_.broken;
     return remove(connection);
   }
-  const auto lost = std::move(connection.lost);
-  connection.lost = nullptr;
+  const auto lost = std::move(connection.on_lost);
+  connection.on_lost = nullptr;
   lost(clean);
 }
 
 // An engine that lets a connection in is there: what broke it off says nothing of the next one. Only so many
 // in a row, and it can't be used.
-void Pool::not_dialled(Connection& connection) {
+void ConnectionPool::not_dialled(Connection& connection) {
   auto& engine = engines_[connection.engine];
-  if (!connection.stream.cut_off() || ++engine.cut_off > kCutOff) return dialled(connection, false);
+  if (!connection.stream.reset_before_connected() || ++engine.cut_off > kCutOff)
+    return dialled(connection, false);
   ++counts_.cut_off;
   remove(connection);  // whoever waits for it has another dialled
 }
 
 // Nor does a connection that is late tell of an engine that was heard since it was begun: its way in is lost.
-void Pool::late(Connection& connection) {
+void ConnectionPool::late(Connection& connection) {
   auto& engine = engines_[connection.engine];
   if (engine.heard > connection.since && ++engine.late <= kLate) return remove(connection);
   --counts_.refused;
   dialled(connection, false);
 }
 
-void Pool::dialled(Connection& connection, bool well) {
+void ConnectionPool::dialled(Connection& connection, bool well) {
   auto& engine = engines_[connection.engine];
   if (!well) {
     ++engine.failures;
@@ -184,10 +185,10 @@
   release(connection);
 }
 
-void Pool::hand_out(std::uint32_t id, Engine& engine) {
+void ConnectionPool::hand_out(std::uint32_t id, Engine& engine) {
   while (!engine.waiting.empty()) {
     const auto settled = [this](const Connection* c) {
-      return !c->used || c->since + limits_.settle <= now_;
+      return !c->used || c->since + limits_.reuse_delay <= now_;
     };
     if (const auto found = std::find_if(engine.idle.rbegin(), engine.idle.rend(), settled);
         found != engine.idle.rend()) {
@@ -195,7 +196,7 @@
       engine.idle.erase(std::next(found).base());
       connection->idle = false;
       // The engine may have closed it while it lay idle, and the loop not have come to that yet.
-      if (connection->stream.stale()) {
+      if (connection->stream.closed_by_peer()) {
         ++counts_.stale;
         remove(*connection);
         continue;
@@ -223,7 +224,7 @@
   engine.failures = 0;
 }
 
-void Pool::settle() {
+void ConnectionPool::process_pending() {
   for (int turn = 0; turn < 1000 && !stirred_.empty(); ++turn) {
     const auto stirred = std::exchange(stirred_, {});
     for (const auto id : stirred) hand_out(id, engines_[id]);
@@ -231,7 +232,7 @@
   gone_.clear();
 }
 
-void Pool::tick(Time now) {
+void ConnectionPool::tick(Time now) {
   now_ = now;
   if (starved_) stir();
   dials_.advance(now, [this](std::uint64_t serial) {
@@ -243,7 +244,7 @@
   if (now < swept_ + kSweep) return;
   swept_ = now;
   for (auto& [id, engine] : engines_) {
-    while (!engine.idle.empty() && engine.idle.front()->since + limits_.idle_life <= now) {
+    while (!engine.idle.empty() && engine.idle.front()->since + limits_.idle_timeout <= now) {
       ++counts_.aged;
       remove(*engine.idle.front());
     }
@@ -255,15 +256,15 @@
   });
 }
 
-std::string Pool::state() const {
+std::string ConnectionPool::state() const {
   std::size_t idle = 0, dialling = 0, waiting = 0;
   for (const auto& [id, engine] : engines_) {
     idle += engine.idle.size();
     dialling += engine.dialling;
     waiting += engine.waiting.size();
   }
-  return std::to_string(connections_.size()) + " of " + std::to_string(limits_.most) + " connections, " +
-         std::to_string(idle) + " idle, " + std::to_string(dialling) + " dialling, " +
+  return std::to_string(connections_.size()) + " of " + std::to_string(limits_.max_connections) +
+         " connections, " + std::to_string(idle) + " idle, " + std::to_string(dialling) + " dialling, " +
          std::to_string(waiting) + " wanted";
 }
 
--- a/src/net/pool.hpp
+++ b/src/net/pool.hpp
@@ -23,7 +23,7 @@
   virtual ~Session() = default;
 };
 
-class Pool {
+class ConnectionPool {
  public:
   struct Connection {
     std::uint64_t serial = 0;
@@ -33,35 +33,35 @@
     bool used = false;                 // handed out before
     Time since{};
     std::unique_ptr<Session> session;
-    std::function<void(std::string_view)> data;  // of the call that has it
-    std::function<void(bool clean)> lost;        // clean: its peer ended it in good form
-    Connection(ev::loop_ref loop, Fd fd, std::size_t most_unwritten)
-        : stream(loop, std::move(fd), true, most_unwritten) {}
+    std::function<void(std::string_view)> on_data;  // of the call that has it
+    std::function<void(bool clean)> on_lost;        // clean: its peer ended it in good form
+    Connection(ev::loop_ref loop, Fd fd, std::size_t max_unsent_bytes)
+        : stream(loop, std::move(fd), true, max_unsent_bytes) {}
   };
   // A connection, or none: it could not be made, and nothing has left for the engine.
-  using Taker = std::function<void(Connection*)>;
+  using AcquireCallback = std::function<void(Connection*)>;
   // Prepares a fresh connection and calls done(true) once calls may use it.
-  using Greeter = std::function<void(Connection&, std::function<void(bool)> done)>;
+  using Handshake = std::function<void(Connection&, std::function<void(bool)> done)>;
 
   struct Limits {
-    std::size_t most = 512;  // connections, to all engines together
-    std::size_t most_unwritten = std::size_t{4} << 20;
-    Time dial_timeout{}, idle_life{};
-    Time settle{};  // a connection rests so long before another call: more may come than its last answer
+    std::size_t max_connections = 512;  // connections, to all engines together
+    std::size_t max_unsent_bytes = std::size_t{4} << 20;
+    Time connect_timeout{}, idle_timeout{};
+    Time reuse_delay{};  // a connection rests so long before another call: more may come than its last answer
   };
 
-  Pool(ev::loop_ref loop, Limits limits, Greeter greeter = {});
+  ConnectionPool(ev::loop_ref loop, Limits limits, Handshake greeter = {});
 
-  void place(std::uint32_t engine, const std::string& address);  // where it listens now
-  void retire(std::uint32_t engine);                             // drop its idle connections; no new ones
+  void set_address(std::uint32_t engine, const std::string& address);  // where it listens now
+  void remove_engine(std::uint32_t engine);  // drop its idle connections; no new ones
 
   // The taker is called later, never from within. 0 is no ticket.
-  std::uint64_t acquire(std::uint32_t engine, Taker taker);
-  void withdraw(std::uint32_t engine, std::uint64_t ticket);  // the taker is not called any more
-  void release(Connection& connection);                       // fit for another call
+  std::uint64_t acquire(std::uint32_t engine, AcquireCallback taker);
+  void cancel(std::uint32_t engine, std::uint64_t ticket);  // the taker is not called any more
+  void release(Connection& connection);                     // fit for another call
   void discard(Connection& connection);
   // Moves on what waits, and lets go of what is over. Call it once in each turn of the loop.
-  void settle();
+  void process_pending();
   void tick(Time now);
 
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
@@ -81,7 +81,7 @@
  private:
   struct Waiter {
     std::uint64_t ticket = 0;
-    Taker taker;
+    AcquireCallback taker;
   };
   struct Engine {
     std::string address;
@@ -108,7 +108,7 @@
 
   ev::loop_ref loop_;
   Limits limits_;
-  Greeter greeter_;
+  Handshake greeter_;
   std::unordered_map<std::uint32_t, Engine> engines_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::vector<std::unique_ptr<Connection>> gone_;  // freed once no handler of theirs can be running
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -12,16 +12,16 @@
 constexpr double kAcceptPause = 0.05;  // s
 }  // namespace
 
-Stream::Stream(ev::loop_ref loop, Fd fd, bool dialling, std::size_t most_unwritten)
-    : io_(loop), fd_(std::move(fd)), dialling_(dialling), most_unwritten_(most_unwritten) {
+Stream::Stream(ev::loop_ref loop, Fd fd, bool connecting, std::size_t max_unsent_bytes)
+    : io_(loop), fd_(std::move(fd)), connecting_(connecting), max_unsent_bytes_(max_unsent_bytes) {
   io_.set<Stream, &Stream::on_io>(this);
   if (fd_) watch();
 }
 
 void Stream::watch() {
   int events = 0;
-  if (!dialling_ && !paused_ && !ended_ && !failed_) events |= ev::READ;
-  if (dialling_ || unwritten() > 0 || failed_) events |= ev::WRITE;
+  if (!connecting_ && !paused_ && !ended_ && !failed_) events |= ev::READ;
+  if (connecting_ || unsent_bytes() > 0 || failed_) events |= ev::WRITE;
   if (events == 0) {
     io_.stop();
   } else if (!io_.is_active()) {
@@ -40,7 +40,7 @@
 
 bool Stream::write(std::string_view bytes) {
   if (!fd_ || failed_) return false;
-  if (unwritten() == 0 && !dialling_) {
+  if (unsent_bytes() == 0 && !connecting_) {
     const auto sent = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (sent < 0 && !transient(errno)) {
       failed_ = true;  // told from the loop, since the caller is in the middle of something
@@ -48,12 +48,12 @@
       return false;
     }
     if (sent > 0) {
-      written_ += static_cast<std::size_t>(sent);
+      sent_bytes_ += static_cast<std::size_t>(sent);
       bytes.remove_prefix(static_cast<std::size_t>(sent));
     }
   }
   if (bytes.empty()) return true;
-  if (unwritten() + bytes.size() > most_unwritten_) {
+  if (unsent_bytes() + bytes.size() > max_unsent_bytes_) {
     failed_ = true;
     watch();
     return false;
@@ -76,17 +76,17 @@
   close();
 }
 
-void Stream::finish() {
+void Stream::shut_down_write() {
   finishing_ = true;
-  if (fd_ && unwritten() == 0) ::shutdown(fd_.get(), SHUT_WR);
+  if (fd_ && unsent_bytes() == 0) ::shutdown(fd_.get(), SHUT_WR);
 }
 
-void Stream::pause(bool on) {
+void Stream::pause_reading(bool on) {
   paused_ = on;
   if (fd_) watch();
 }
 
-bool Stream::stale() const {
+bool Stream::closed_by_peer() const {
   char byte = 0;
   const auto got = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return got >= 0 || !transient(errno);
@@ -104,17 +104,17 @@
 void Stream::on_io(ev::io&, int events) {
   if (failed_) return fail();
   if ((events & ev::ERROR) != 0) return watch_again();
-  if (dialling_) {
+  if (connecting_) {
     if (const int error = connect_error(fd_.get()); error != 0) {
-      cut_off_ = error == ECONNRESET;
+      reset_before_connected_ = error == ECONNRESET;
       return fail();
     }
-    dialling_ = false;
+    connecting_ = false;
     const auto alive = alive_;
     watch();
     if (handlers_.connected) handlers_.connected();
     if (!*alive) return;
-    if (unwritten() > 0) flush();
+    if (unsent_bytes() > 0) flush();
     return;
   }
   const auto alive = alive_;
@@ -134,27 +134,27 @@
   if (got < 0) return fail();
   ended_ = true;
   watch();
-  if (handlers_.ended) handlers_.ended();
+  if (handlers_.end_of_input) handlers_.end_of_input();
 }
 
 void Stream::flush() {
-  while (unwritten() > 0) {
-    const auto sent = ::send(fd_.get(), out_.data() + out_at_, unwritten(), MSG_NOSIGNAL);
+  while (unsent_bytes() > 0) {
+    const auto sent = ::send(fd_.get(), out_.data() + out_at_, unsent_bytes(), MSG_NOSIGNAL);
     if (sent < 0) {
       if (transient(errno)) break;
       return fail();
     }
     out_at_ += static_cast<std::size_t>(sent);
-    written_ += static_cast<std::size_t>(sent);
+    sent_bytes_ += static_cast<std::size_t>(sent);
   }
-  if (unwritten() == 0) {
+  if (unsent_bytes() == 0) {
     if (finishing_) ::shutdown(fd_.get(), SHUT_WR);
     out_.clear();
     out_at_ = 0;
     if (out_.capacity() > std::size_t{16} * 1024) out_.shrink_to_fit();
   }
   watch();
-  if (unwritten() == 0 && handlers_.drained) handlers_.drained();
+  if (unsent_bytes() == 0 && handlers_.drained) handlers_.drained();
 }
 
 Listener::Listener(ev::loop_ref loop, Fd fd, std::function<void(Fd)> accepted)
--- a/src/platform/changelog.cpp
+++ b/src/platform/changelog.cpp
@@ -9,11 +9,11 @@
 namespace bellstair::platform {
 
 ChangeLog::ChangeLog(ev::loop_ref loop, std::string address, const config::NameIndex& names,
-                     std::uint64_t since, net::Post post)
+                     std::uint64_t since, net::EventSink post)
     : loop_(loop), address_(std::move(address)), names_(names), since_(since), post_(std::move(post)) {}
 
 // The numbers carry on there. An answer that has not come whole by now is asked for again.
-void ChangeLog::follow(const std::string& address) {
+void ChangeLog::set_address(const std::string& address) {
   if (address == address_) return;
   address_ = address;
   disconnect();
@@ -42,12 +42,12 @@
   auto fd = at ? net::begin_connect(*at) : net::Fd();
   if (!fd) return lost("no connection");
   stage_ = Stage::dialling;
-  due_ = now_ + kDial;
+  due_ = now_ + kConnectTimeout;
   stream_ = std::make_unique<net::Stream>(loop_, std::move(fd), true, std::size_t{4} * 1024);
-  stream_->handle({
+  stream_->set_handlers({
       .connected = [this] { ask(); },
       .data = [this](std::string_view bytes) { on_data(bytes); },
-      .ended = [this] { reader_.finish() ? answered() : lost("it has closed"); },
+      .end_of_input = [this] { reader_.finish() ? answered() : lost("it has closed"); },
       .closed = [this] { lost(stage_ == Stage::dialling ? "no connection" : "it has broken off"); },
       .drained = {},
   });
@@ -58,11 +58,11 @@
 void ChangeLog::ask() {
   reader_.expect();
   stage_ = Stage::asking;
-  due_ = now_ + kSilence;
-  const auto wait = caught_up_ ? kWait : core::Time::zero();
+  due_ = now_ + kResponseTimeout;
+  const auto wait = caught_up_ ? kLongPollTimeout : core::Time::zero();
   const auto path = "/changes?since=" + std::to_string(since_) + "&timeout=" +
                     std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(wait).count());
-  stream_->write(http_call("GET", path, address_, {}, {}));  // if it fails, `closed` follows
+  stream_->write(http_request("GET", path, address_, {}, {}));  // if it fails, `closed` follows
 }
 
 void ChangeLog::on_data(std::string_view bytes) {
@@ -86,7 +86,7 @@
   caught_up_ = since_ == before;
   if (caught_up_) post_(core::DiscoveryIdle{true});
   stage_ = Stage::idle;
-  due_ = now_ + kPace;
+  due_ = now_ + kMinPollInterval;
   if (!answer.keep_alive) disconnect();
 }
 
@@ -120,7 +120,7 @@
                  static_cast<unsigned long long>(since_));
   disconnect();
   caught_up_ = false;
-  due_ = now_ + kPause;
+  due_ = now_ + kReconnectDelay;
   post_(core::DiscoveryIdle{false});  // what is known has to do
 }
 
--- a/src/platform/changelog.hpp
+++ b/src/platform/changelog.hpp
@@ -21,18 +21,20 @@
  public:
   // The longest wait for news that is asked for. What a log that stops would have told counts as told 2 s
   // after that wait, so the shorter it is, the sooner silence shows.
-  static constexpr core::Time kWait = std::chrono::milliseconds(1000);
-  static constexpr core::Time kSilence = kWait + std::chrono::milliseconds(500);  // for a whole answer
-  static constexpr core::Time kDial = std::chrono::milliseconds(500);
-  static constexpr core::Time kPause = std::chrono::milliseconds(100);  // before the next connection
-  static constexpr core::Time kPace = std::chrono::milliseconds(10);    // between two calls, at the least
-  static constexpr std::size_t kMostBody = std::size_t{1} << 20;
+  static constexpr core::Time kLongPollTimeout = std::chrono::milliseconds(1000);
+  static constexpr core::Time kResponseTimeout =
+      kLongPollTimeout + std::chrono::milliseconds(500);  // for a whole answer
+  static constexpr core::Time kConnectTimeout = std::chrono::milliseconds(500);
+  static constexpr core::Time kReconnectDelay = std::chrono::milliseconds(100);  // before the next connection
+  static constexpr core::Time kMinPollInterval =
+      std::chrono::milliseconds(10);  // between two calls, at the least
+  static constexpr std::size_t kMaxBodyBytes = std::size_t{1} << 20;
 
   // `names` has to outlive this; `since`: the number of the last event known.
   ChangeLog(ev::loop_ref loop, std::string address, const config::NameIndex& names, std::uint64_t since,
-            net::Post post);
+            net::EventSink post);
 
-  void follow(const std::string& address);
+  void set_address(const std::string& address);
   void tick(core::Time now);  // all calls leave from here, and all waits end here
 
  private:
@@ -50,9 +52,9 @@
   std::string address_;
   const config::NameIndex& names_;
   std::uint64_t since_;
-  net::Post post_;
+  net::EventSink post_;
   Stage stage_ = Stage::apart;
-  HttpReader reader_{kMostBody};
+  HttpResponseParser reader_{kMaxBodyBytes};
   std::unique_ptr<net::Stream> stream_;
   std::vector<std::unique_ptr<net::Stream>> gone_;  // freed once no handler of theirs can be running
   bool caught_up_ = false;                          // the last answer said that there is no more
--- a/src/platform/engines.cpp
+++ b/src/platform/engines.cpp
@@ -31,7 +31,7 @@
 constexpr core::Time kReport = 2s;  // between lines in the log
 
 struct HttpSession : net::Session {
-  HttpReader reader{kMostBody};
+  HttpResponseParser reader{kMostBody};
   bool doubled = false;  // an answer too many came, so that each further one may belong to the call before
 };
 
@@ -50,8 +50,8 @@
 std::string path_of(const std::string& ticket) { return "/v1/store/" + ticket; }
 }  // namespace
 
-Engines::Engines(ev::loop_ref loop, net::Pool::Limits limits, std::vector<std::string> class_names,
-                 std::vector<std::string> load_fields, net::Post post)
+Engines::Engines(ev::loop_ref loop, net::ConnectionPool::Limits limits, std::vector<std::string> class_names,
+                 std::vector<std::string> load_fields, net::EventSink post)
     : pool_(loop, limits),
       class_names_(std::move(class_names)),
       load_fields_(std::move(load_fields)),
@@ -70,12 +70,12 @@
   if (!connection.session) connection.session = std::make_unique<HttpSession>();
   auto& reader = static_cast<HttpSession&>(*connection.session).reader;
   reader.expect();
-  calls_[serial] = {&connection, connection.stream.written(), std::move(done)};
-  connection.data = [this, serial, &reader](std::string_view in) {
+  calls_[serial] = {&connection, connection.stream.sent_bytes(), std::move(done)};
+  connection.on_data = [this, serial, &reader](std::string_view in) {
     if (!reader.feed(in)) return finish(serial, End::broken);
     if (reader.complete()) finish(serial, End::answered);
   };
-  connection.lost = [this, serial, &reader](bool clean) {
+  connection.on_lost = [this, serial, &reader](bool clean) {
     finish(serial, clean && reader.finish() ? End::answered : End::broken);
   };
   patience_.arm(now_ + patience, serial);
@@ -90,12 +90,12 @@
   calls_.erase(found);
   auto& connection = *call.connection;
   auto& reader = static_cast<HttpSession&>(*connection.session).reader;
-  HttpAnswer answer;
+  HttpResponse answer;
   if (end == End::answered) answer = reader.take();
-  if (end == End::broken && connection.stream.written() == call.before) end = End::unsent;
+  if (end == End::broken && connection.stream.sent_bytes() == call.before) end = End::unsent;
   const bool fit = end == End::answered && answer.keep_alive && connection.stream.open();
-  connection.data = nullptr;
-  connection.lost = nullptr;
+  connection.on_data = nullptr;
+  connection.on_lost = nullptr;
   ++call_ends_[static_cast<std::size_t>(end)];
   if (!fit) pool_.discard(connection);
   call.done(end, answer);
@@ -104,9 +104,9 @@
 std::uint64_t Engines::aside(core::EngineId engine, std::string bytes, core::Time patience, Done done) {
   return pool_.acquire(engine,
                        [this, bytes = std::move(bytes), patience, done = std::move(done)](Connection* c) {
-                         HttpAnswer none;
+                         HttpResponse none;
                          if (c == nullptr) return done(End::not_connected, none);
-                         call(*c, bytes, patience, [this, c, done](End end, HttpAnswer& answer) {
+                         call(*c, bytes, patience, [this, c, done](End end, HttpResponse& answer) {
                            if (end == End::answered && answer.keep_alive && c->stream.open()) release(*c);
                            done(end, answer);
                          });
@@ -141,7 +141,7 @@
   const auto calls = std::exchange(call_ends_, {});
   const auto ends = std::exchange(attempt_ends_, {});
   const auto c = pool_.take_counts();
-  if (calls == decltype(calls){} && ends == decltype(ends){} && c == net::Pool::Counts{}) return;
+  if (calls == decltype(calls){} && ends == decltype(ends){} && c == net::ConnectionPool::Counts{}) return;
   const auto call = [&](End end) { return calls[static_cast<std::size_t>(end)]; };
   const auto attempt = [&](AttemptOutcome end) { return ends[static_cast<std::size_t>(end)]; };
   std::fprintf(
@@ -171,7 +171,7 @@
     if (connection == nullptr) return end(id, AttemptOutcome::connect_failed);
     found->second.connection = connection;
     found->second.stage = Stage::ready;
-    connection->lost = [this, id, connection](bool) {
+    connection->on_lost = [this, id, connection](bool) {
       attempts_.at(id).connection = nullptr;
       pool_.discard(*connection);
     };
@@ -203,8 +203,8 @@
   attempt.query = path_of(effect.ticket);
   const auto id = effect.id;
   attempt.call =
-      call(*attempt.connection, http_call("POST", "/v1/store", host(attempt.engine), headers, effect.body),
-           kSilence, [this, id](End end, HttpAnswer& answer) { answered(id, end, answer); });
+      call(*attempt.connection, http_request("POST", "/v1/store", host(attempt.engine), headers, effect.body),
+           kSilence, [this, id](End end, HttpResponse& answer) { answered(id, end, answer); });
 }
 
 void Engines::run(const core::CancelAttempt& effect) {
@@ -213,7 +213,7 @@
   auto& attempt = found->second;
   switch (attempt.stage) {
     case Stage::waiting:
-      pool_.withdraw(attempt.engine, attempt.ticket);
+      pool_.cancel(attempt.engine, attempt.ticket);
       return end(effect.id, AttemptOutcome::expired);
     case Stage::ready:
       if (attempt.connection != nullptr) pool_.release(*attempt.connection);
@@ -223,7 +223,7 @@
       // A DELETE on another connection could overtake the statement, which would then run unasked: the
       // engine's first word, at most 250 ms away, proves that it has come whole.
       attempt.stage = Stage::leaving;
-      if (attempt.connection->stream.unwritten() > 0) {
+      if (attempt.connection->stream.unsent_bytes() > 0) {
         pool_.discard(*attempt.connection);  // the engine never gets it whole
         calls_.erase(attempt.call);
         return end(effect.id, AttemptOutcome::cancelled);
@@ -255,8 +255,8 @@
 void Engines::tell(AttemptId id) {
   auto& attempt = attempts_.at(id);
   attempt.ticket = aside(
-      attempt.engine, http_call("DELETE", attempt.query, host(attempt.engine), {}, {}), kAside,
-      [this, id](End how, HttpAnswer&) {
+      attempt.engine, http_request("DELETE", attempt.query, host(attempt.engine), {}, {}), kAside,
+      [this, id](End how, HttpResponse&) {
         const auto found = attempts_.find(id);
         if (found == attempts_.end()) return;
         if (how != End::answered) return tell_again_.arm(now_ + kTellPause, id);
@@ -292,14 +292,14 @@
   if (attempt.stage == Stage::posted) attempt.rank = effect.priority;
   if (attempt.stage != Stage::polling) return;
   aside(attempt.engine,
-        http_call("PUT", attempt.query, host(attempt.engine), {}, std::to_string(effect.priority)), kAside,
-        [](End, HttpAnswer&) {});
+        http_request("PUT", attempt.query, host(attempt.engine), {}, std::to_string(effect.priority)), kAside,
+        [](End, HttpResponse&) {});
 }
 
 void Engines::run(const core::ProbeEngine& effect) {
   const auto engine = effect.engine;
-  aside(engine, http_call("GET", "/-/gauges", host(engine), {}, {}), kAside,
-        [this, engine](End end, HttpAnswer& answer) {
+  aside(engine, http_request("GET", "/-/gauges", host(engine), {}, {}), kAside,
+        [this, engine](End end, HttpResponse& answer) {
           core::ProbeEnded probe{engine, heronwell::AttemptStatus::served, {}};
           switch (end) {
             case End::answered:
@@ -324,15 +324,15 @@
 void Engines::run(const core::EngineUpdated& effect) {
   if (!effect.usable) {
     addresses_.erase(effect.engine);
-    return pool_.retire(effect.engine);
+    return pool_.remove_engine(effect.engine);
   }
   addresses_[effect.engine] = effect.address;
-  pool_.place(effect.engine, effect.address);
+  pool_.set_address(effect.engine, effect.address);
 }
 
 // ---- an attempt's way
 
-void Engines::answered(AttemptId id, End how, HttpAnswer& answer) {
+void Engines::answered(AttemptId id, End how, HttpResponse& answer) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   auto& attempt = found->second;
@@ -394,7 +394,7 @@
   end(id, attempt.doubtful ? AttemptOutcome::query_dropped : AttemptOutcome::error);
 }
 
-bool Engines::take_page(Attempt& attempt, HttpAnswer& answer) {
+bool Engines::take_page(Attempt& attempt, HttpResponse& answer) {
   auto& result = attempt.result;
   if (!whole_rows(answer.body) || result.body.size() + answer.body.size() > kMostResult) return false;
   if (attempt.next_page == 0) {
@@ -419,9 +419,9 @@
   attempt.asked_for_news = now_;
   attempt.call =
       call(*attempt.connection,
-           http_call("GET", attempt.query + "/" + std::to_string(page), host(attempt.engine), {}, {}),
+           http_request("GET", attempt.query + "/" + std::to_string(page), host(attempt.engine), {}, {}),
            page > 0 ? kPageSilence : kSilence,
-           [this, id](End how, HttpAnswer& answer) { answered(id, how, answer); });
+           [this, id](End how, HttpResponse& answer) { answered(id, how, answer); });
 }
 
 // News and pages may be asked for again: asking does nothing to the query.
@@ -448,7 +448,7 @@
   auto attempt = std::move(found->second);
   attempts_.erase(found);
   // The engine may get it again under the same name: a DELETE that has not left must not do so then.
-  if (attempt.stage == Stage::deleting) pool_.withdraw(attempt.engine, attempt.ticket);
+  if (attempt.stage == Stage::deleting) pool_.cancel(attempt.engine, attempt.ticket);
   if (auto* connection = attempt.connection; connection != nullptr && connection->stream.open()) {
     // A call that is still out on it ends by itself, and frees the connection then.
     const auto out = calls_.find(attempt.call);
@@ -456,7 +456,7 @@
       release(*connection);
     } else {
       patience_.arm(now_ + kSilence, out->first);
-      out->second.done = [this, connection](End end, HttpAnswer& answer) {
+      out->second.done = [this, connection](End end, HttpResponse& answer) {
         if (end == End::answered && answer.keep_alive && connection->stream.open()) release(*connection);
       };
     }
@@ -467,10 +467,10 @@
   post_(std::move(attempt.result));
 }
 
-void Engines::take_load(const HttpAnswer& answer, std::vector<double>& load) const {
+void Engines::take_load(const HttpResponse& answer, std::vector<double>& load) const {
   const auto text = answer.header("x-meter");
   if (text.empty()) return;
-  const auto values = parse_meter(text);
+  const auto values = parse_load_header(text);
   std::vector<double> out;
   for (const auto& field : load_fields_) {
     const auto found = values.find(field);
--- a/src/platform/engines.hpp
+++ b/src/platform/engines.hpp
@@ -19,8 +19,8 @@
 
 class Engines : public net::EngineDriver {
  public:
-  Engines(ev::loop_ref loop, net::Pool::Limits limits, std::vector<std::string> class_names,
-          std::vector<std::string> load_fields, net::Post post);
+  Engines(ev::loop_ref loop, net::ConnectionPool::Limits limits, std::vector<std::string> class_names,
+          std::vector<std::string> load_fields, net::EventSink post);
 
   void run(const core::StartAttempt& effect) override;
   void run(core::Transmit& effect) override;
@@ -29,15 +29,15 @@
   void run(const core::ProbeEngine& effect) override;
   void run(const core::EngineUpdated& effect) override;
 
-  void settle() override { pool_.settle(); }
+  void process_pending() override { pool_.process_pending(); }
   void tick(core::Time now) override;
 
  private:
-  using Connection = net::Pool::Connection;
+  using Connection = net::ConnectionPool::Connection;
   // leaving: given up before the engine's first word; deleting: the engine is being told.
   enum class Stage { waiting, ready, posted, polling, paging, leaving, deleting };
   enum class End { answered, not_connected, unsent, broken, silent };
-  using Done = std::function<void(End, HttpAnswer&)>;
+  using Done = std::function<void(End, HttpResponse&)>;
 
   struct Attempt {
     core::EngineId engine = 0;
@@ -67,10 +67,10 @@
   // A call on any connection of the engine's; gives the pool's ticket for that.
   std::uint64_t aside(core::EngineId engine, std::string bytes, core::Time patience, Done done);
 
-  void answered(core::AttemptId id, End end, HttpAnswer& answer);
+  void answered(core::AttemptId id, End end, HttpResponse& answer);
   void ask(core::AttemptId id);  // for news, or for the next page
   void reconnect(core::AttemptId id);
-  bool take_page(Attempt& attempt, HttpAnswer& answer);  // false: it is spoilt
+  bool take_page(Attempt& attempt, HttpResponse& answer);  // false: it is spoilt
   void end(core::AttemptId id, core::AttemptOutcome how);
   // Ends it once the engine has been told, or has ended the query itself.
   void give_up(core::AttemptId id, core::AttemptOutcome how);
@@ -82,12 +82,12 @@
   void release(Connection& connection);
   void let_go(Attempt& attempt);  // of its connection, if no call is out on it
   void report();
-  void take_load(const HttpAnswer& answer, std::vector<double>& load) const;
+  void take_load(const HttpResponse& answer, std::vector<double>& load) const;
   std::string host(core::EngineId engine) const;
 
-  net::Pool pool_;
+  net::ConnectionPool pool_;
   std::vector<std::string> class_names_, load_fields_;
-  net::Post post_;
+  net::EventSink post_;
   std::map<core::AttemptId, Attempt> attempts_;
   std::unordered_map<std::uint64_t, Call> calls_;
   std::unordered_map<core::EngineId, std::string> addresses_;
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -12,7 +12,8 @@
 }  // namespace
 
 Front::Front(ev::loop_ref loop, net::Fd listening, const config::NameIndex& names,
-             std::size_t most_connections, std::uint64_t& handles, std::function<bool()> green, Post post)
+             std::size_t most_connections, std::uint64_t& handles, std::function<bool()> green,
+             EventSink post)
     : loop_(loop),
       names_(names),
       most_connections_(most_connections),
@@ -35,7 +36,7 @@
 }
 
 void Front::rank(Connection& connection) {
-  const bool busy = !connection.leaving && (!connection.open.empty() || connection.stream.unwritten() > 0);
+  const bool busy = !connection.leaving && (!connection.open.empty() || connection.stream.unsent_bytes() > 0);
   const auto rank = busy ? Rank::busy : connection.asked && !connection.leaving ? Rank::idle : Rank::stranger;
   if (rank == connection.rank) return;
   auto& from = ranks_[static_cast<std::size_t>(connection.rank)];
@@ -54,14 +55,14 @@
   connection.place = strangers.insert(strangers.end(), &connection);
   connections_.emplace(connection.serial, std::move(made));
   watch(connection, now_ + kWhole);
-  connection.stream.handle({
+  connection.stream.set_handlers({
       .connected = {},
       .data = [this, &connection](std::string_view bytes) { take(connection, bytes); },
-      .ended =
+      .end_of_input =
           [this, &connection] {
             // It may only have closed its side: what it has asked for is still owed.
             connection.ended = true;
-            if (connection.open.empty() && connection.stream.unwritten() == 0) return close(connection);
+            if (connection.open.empty() && connection.stream.unsent_bytes() == 0) return close(connection);
             for (const auto& [id, client] : connection.open) post_(core::ClientHalfClosed{client});
           },
       .closed = [this, &connection] { close(connection); },
@@ -119,7 +120,7 @@
 void Front::part(Connection& connection) {
   connection.leaving = true;
   partial_ -= std::exchange(connection.in, {}).size();
-  connection.stream.finish();
+  connection.stream.shut_down_write();
   rank(connection);
   connection.since = now_;
   connection.watched = false;
@@ -184,7 +185,7 @@
       return strike(connection, rpc_error(std::nullopt, -32600, "the id is in use"));
     }
     if (connection.open.size() >= kMostOpen) {
-      return strike(connection, rpc_error(request.id, kRpcRefused, "too many open requests"));
+      return strike(connection, rpc_error(request.id, kRpcRejected, "too many open requests"));
     }
     connection.asked = true;
     connection.last_id = std::max(connection.last_id, request.id);
@@ -230,7 +231,7 @@
       connection.stream.write(rpc_result(open.id, answer.body));
       break;
     case core::AnswerKind::rejected:
-      connection.stream.write(rpc_error(open.id, kRpcRefused, "refused", answer.retry_after));
+      connection.stream.write(rpc_error(open.id, kRpcRejected, "refused", answer.retry_after));
       break;
     case core::AnswerKind::failed:
       connection.stream.write(rpc_error(open.id, kRpcFailed, "failed", answer.retry_after));
@@ -239,7 +240,7 @@
       connection.stream.write(rpc_error(open.id, kRpcTimedOut, "timed out", answer.retry_after));
       break;
   }
-  if (connection.open.empty() && connection.ended && connection.stream.unwritten() == 0) {
+  if (connection.open.empty() && connection.ended && connection.stream.unsent_bytes() == 0) {
     close(connection);
   } else if (connection.open.empty() && connection.dismissed) {
     part(connection);
@@ -249,9 +250,9 @@
   return true;
 }
 
-bool Front::unwritten() const {
+bool Front::has_unsent_output() const {
   if (stopped_) return !connections_.empty();
-  return std::ranges::any_of(connections_, [](const auto& c) { return c.second->stream.unwritten() > 0; });
+  return std::ranges::any_of(connections_, [](const auto& c) { return c.second->stream.unsent_bytes() > 0; });
 }
 
 }  // namespace bellstair::platform
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -22,20 +22,20 @@
 
 class Front {
  public:
-  using Post = std::function<void(core::Event)>;
+  using EventSink = std::function<void(core::Event)>;
   // Clients' handles are drawn from `handles`, which all fronts share.
   Front(ev::loop_ref loop, net::Fd listening, const config::NameIndex& names, std::size_t most_connections,
-        std::uint64_t& handles, std::function<bool()> green, Post post);
+        std::uint64_t& handles, std::function<bool()> green, EventSink post);
 
   [[nodiscard]] const std::string& address() const { return address_; }
   // False: the client is not one of this front's.
   bool run(const core::Answer& answer);
-  void settle() { gone_.clear(); }
+  void release_closed() { gone_.clear(); }
   void tick(core::Time now);
   // Takes nothing more: every client is told so by the end of what is written to it, and what it still sends
   // is read and dropped. unwritten() until all have gone.
   void stop();
-  [[nodiscard]] bool unwritten() const;
+  [[nodiscard]] bool has_unsent_output() const;
 
  private:
   static constexpr std::size_t kMostLine = std::size_t{256} * 1024;
@@ -90,7 +90,7 @@
   std::size_t most_connections_;
   std::uint64_t& handles_;
   std::function<bool()> green_;
-  Post post_;
+  EventSink post_;
   std::string address_;  // where it listens
   std::optional<net::Listener> listener_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
--- a/src/platform/http.cpp
+++ b/src/platform/http.cpp
@@ -15,15 +15,15 @@
 }
 }  // namespace
 
-std::string_view HttpAnswer::header(std::string_view name) const {
+std::string_view HttpResponse::header(std::string_view name) const {
   const auto found = headers.find(name);
   return found == headers.end() ? std::string_view() : std::string_view(found->second);
 }
 
-std::optional<double> HttpAnswer::number(std::string_view name) const { return parse_number(header(name)); }
+std::optional<double> HttpResponse::number(std::string_view name) const { return parse_number(header(name)); }
 
-std::string http_call(std::string_view method, std::string_view path, std::string_view host,
-                      const HttpHeaders& headers, std::string_view body) {
+std::string http_request(std::string_view method, std::string_view path, std::string_view host,
+                         const HttpHeaders& headers, std::string_view body) {
   std::string out;
   out.reserve(256 + body.size());
   out.append(method).append(" ").append(path).append(" HTTP/1.1\r\nHost: ").append(host).append("\r\n");
@@ -33,10 +33,12 @@
   return out.append("\r\n").append(body);
 }
 
-const http_parser_settings& HttpReader::callbacks() {
+const http_parser_settings& HttpResponseParser::callbacks() {
   static const http_parser_settings kCallbacks = [] {
     http_parser_settings s{};
-    const auto self = [](http_parser* p) -> HttpReader& { return *static_cast<HttpReader*>(p->data); };
+    const auto self = [](http_parser* p) -> HttpResponseParser& {
+      return *static_cast<HttpResponseParser*>(p->data);
+    };
     static const auto of = self;
     s.on_header_field = [](http_parser* p, const char* at, std::size_t size) {
       auto& r = of(p);
@@ -76,7 +78,7 @@
   return kCallbacks;
 }
 
-void HttpReader::expect() {
+void HttpResponseParser::expect() {
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
   answer_ = {};
@@ -86,7 +88,7 @@
   header_bytes_ = 0;
 }
 
-bool HttpReader::feed(std::string_view bytes) {
+bool HttpResponseParser::feed(std::string_view bytes) {
   if (complete_) return false;
   begun_ = begun_ || !bytes.empty();
   parser_.data = this;
@@ -98,7 +100,7 @@
     expect();
     begun_ = true;
     header_bytes_ = heads;
-    return heads <= kMostHeaderBytes && (used == bytes.size() || feed(bytes.substr(used)));
+    return heads <= kMaxHeaderBytes && (used == bytes.size() || feed(bytes.substr(used)));
   }
   if (complete_) {
     if (used < bytes.size()) answer_.keep_alive = false;
@@ -107,14 +109,14 @@
   return HTTP_PARSER_ERRNO(&parser_) == HPE_OK && used == bytes.size();
 }
 
-bool HttpReader::finish() {
+bool HttpResponseParser::finish() {
   if (complete_ || !begun_) return false;
   parser_.data = this;
   http_parser_execute(&parser_, &callbacks(), nullptr, 0);
   return complete_;
 }
 
-void HttpReader::keep_header() {
+void HttpResponseParser::keep_header() {
   if (field_.empty()) return;
   std::ranges::transform(field_, field_.begin(), [](unsigned char c) { return std::tolower(c); });
   answer_.headers[field_] = value_;
@@ -123,9 +125,9 @@
   in_value_ = false;
 }
 
-bool HttpReader::count(std::size_t bytes) { return (header_bytes_ += bytes) <= kMostHeaderBytes; }
+bool HttpResponseParser::count(std::size_t bytes) { return (header_bytes_ += bytes) <= kMaxHeaderBytes; }
 
-std::map<std::string, double, std::less<>> parse_meter(std::string_view text) {
+std::map<std::string, double, std::less<>> parse_load_header(std::string_view text) {
   std::map<std::string, double, std::less<>> out;
   while (!text.empty()) {
     const auto end = std::min(text.find(';'), text.size());
--- a/src/platform/http.hpp
+++ b/src/platform/http.hpp
@@ -12,7 +12,7 @@
 
 namespace bellstair::platform {
 
-struct HttpAnswer {
+struct HttpResponse {
   unsigned status = 0;
   std::map<std::string, std::string, std::less<>> headers;  // names in lower case
   std::string body;
@@ -25,15 +25,15 @@
 using HttpHeaders = std::vector<std::pair<std::string_view, std::string>>;
 
 // Header values must be free of line ends; the callers see to it.
-[[nodiscard]] std::string http_call(std::string_view method, std::string_view path, std::string_view host,
-                                    const HttpHeaders& headers, std::string_view body);
+[[nodiscard]] std::string http_request(std::string_view method, std::string_view path, std::string_view host,
+                                       const HttpHeaders& headers, std::string_view body);
 
 // Reads the answer to one call at a time.
-class HttpReader {
+class HttpResponseParser {
  public:
-  static constexpr std::size_t kMostHeaderBytes = std::size_t{16} * 1024;
+  static constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
 
-  explicit HttpReader(std::size_t most_body) : most_body_(most_body) { expect(); }
+  explicit HttpResponseParser(std::size_t most_body) : most_body_(most_body) { expect(); }
   void expect();  // a new answer
   // False: what came is no HTTP, or too large. An answer with more behind it is good, its connection of no
   // more use.
@@ -42,12 +42,12 @@
   [[nodiscard]] bool finish();
   [[nodiscard]] bool complete() const { return complete_; }
   [[nodiscard]] bool begun() const { return begun_; }
-  [[nodiscard]] HttpAnswer take() { return std::move(answer_); }
+  [[nodiscard]] HttpResponse take() { return std::move(answer_); }
 
  private:
   static const http_parser_settings& callbacks();
   http_parser parser_{};
-  HttpAnswer answer_;
+  HttpResponse answer_;
   std::string field_, value_;
   bool in_value_ = false, complete_ = false, begun_ = false;
   std::size_t header_bytes_ = 0, most_body_;
@@ -56,6 +56,6 @@
 };
 
 // "pending:7;x1:0.61" -> values by name; what is malformed is left out.
-[[nodiscard]] std::map<std::string, double, std::less<>> parse_meter(std::string_view text);
+[[nodiscard]] std::map<std::string, double, std::less<>> parse_load_header(std::string_view text);
 
 }  // namespace bellstair::platform
--- a/src/platform/jsonrpc.hpp
+++ b/src/platform/jsonrpc.hpp
@@ -31,7 +31,7 @@
 };
 using RpcMessage = std::variant<RpcRequest, RpcCancel, RpcHealth, RpcError>;
 
-inline constexpr int kRpcRefused = -32066;
+inline constexpr int kRpcRejected = -32066;
 inline constexpr int kRpcFailed = -32069;
 inline constexpr int kRpcTimedOut = -32079;
 
--- a/src/platform/peers.cpp
+++ b/src/platform/peers.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMostBytes = 256;  // a longer datagram voids all
 }
 
-Peers::Peers(ev::loop_ref loop, const config::Config& config, Post post)
+Peers::Peers(ev::loop_ref loop, const config::Config& config, EventSink post)
     : io_(loop),
       all_(net::parse_address(config.peers_all)),
       me_(config.settings.gateway_index),
--- a/src/platform/peers.hpp
+++ b/src/platform/peers.hpp
@@ -14,8 +14,8 @@
 
 class Peers {
  public:
-  using Post = std::function<void(core::Event)>;
-  Peers(ev::loop_ref loop, const config::Config& config, Post post);
+  using EventSink = std::function<void(core::Event)>;
+  Peers(ev::loop_ref loop, const config::Config& config, EventSink post);
   void run(const core::SendToPeers& effect);
 
  private:
@@ -25,7 +25,7 @@
   std::vector<sockaddr_in> peers_;
   std::optional<sockaddr_in> all_;
   std::size_t me_;
-  Post post_;
+  EventSink post_;
 };
 
 }  // namespace bellstair::platform
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -45,7 +45,7 @@
 TEST(Http, AnAnswerMayComeInPieces) {
   const auto whole =
       "HTTP/1.1 200 OK\r\nResult-Pages: 3\r\nX-Meter: a:1;b:x;c:0.5\r\nContent-Length: 4\r\n\r\na\tb\n"s;
-  platform::HttpReader reader(100);
+  platform::HttpResponseParser reader(100);
   for (const char c : whole) {
     ASSERT_FALSE(reader.complete());
     ASSERT_TRUE(reader.feed({&c, 1}));
@@ -55,7 +55,7 @@
   EXPECT_EQ(answer.status, 200U);
   EXPECT_EQ(answer.number("result-pages"), 3);
   EXPECT_EQ(answer.body, "a\tb\n");
-  const auto meter = platform::parse_meter(answer.header("x-meter"));
+  const auto meter = platform::parse_load_header(answer.header("x-meter"));
   EXPECT_EQ(meter.size(), 2U);
   EXPECT_EQ(meter.at("c"), 0.5);
 }
@@ -67,7 +67,7 @@
                                     {kGood + "x", false},
                                     {kGood + kGood, false},
                                     {"HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n"s, true}}) {
-    platform::HttpReader reader(100);
+    platform::HttpResponseParser reader(100);
     EXPECT_TRUE(reader.feed(bytes));
     ASSERT_TRUE(reader.complete()) << bytes;
     const auto answer = reader.take();
@@ -86,10 +86,10 @@
           return out;
         }(),
         "HTTP/1.1 200 OK\r\nA: " + std::string(20000, 'x')}) {
-    platform::HttpReader reader(100);
+    platform::HttpResponseParser reader(100);
     EXPECT_FALSE(reader.feed(bad)) << bad.substr(0, 40);
   }
-  platform::HttpReader cut(100);
+  platform::HttpResponseParser cut(100);
   EXPECT_TRUE(cut.feed("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"));
   EXPECT_FALSE(cut.finish());  // cut half-way is no answer
 }
--- a/tests/net/changelog_test.cpp
+++ b/tests/net/changelog_test.cpp
@@ -73,7 +73,7 @@
     const auto end = std::chrono::steady_clock::now() + kPatience;
     auto most = now;
     for (std::size_t seen = heard() + 1; !reached() && std::chrono::steady_clock::now() < end;) {
-      if (std::exchange(seen, heard()) != heard()) most = now + ChangeLog::kDial - 50ms;
+      if (std::exchange(seen, heard()) != heard()) most = now + ChangeLog::kConnectTimeout - 50ms;
       pass(now + step <= most ? step : 0ms);
       loop.run(ev::ONCE);
     }
@@ -148,15 +148,16 @@
         [&](int n, const std::string&) { return n == 1 ? begun : news(2, {event(2, "s-00000002")}); });
     Follower f(log.server.address());
     ASSERT_TRUE(f.until([&] { return log.askings() == 1; }, kCreep));
-    f.pass(ChangeLog::kSilence - ChangeLog::kDial);
+    f.pass(ChangeLog::kResponseTimeout - ChangeLog::kConnectTimeout);
     EXPECT_EQ(f.quiet, 0);
-    f.pass(ChangeLog::kSilence);
+    f.pass(ChangeLog::kResponseTimeout);
     EXPECT_EQ(f.quiet, 1);  // it cannot be asked
-    f.pass(ChangeLog::kPause);
+    f.pass(ChangeLog::kReconnectDelay);
     ASSERT_TRUE(f.until([&] { return !f.changes.empty(); }));
     EXPECT_EQ(log.opened(), 2U);
   }
-  static_assert(ChangeLog::kSilence + ChangeLog::kPause + ChangeLog::kDial <= ChangeLog::kWait + 2s);
+  static_assert(ChangeLog::kResponseTimeout + ChangeLog::kReconnectDelay + ChangeLog::kConnectTimeout <=
+                ChangeLog::kLongPollTimeout + 2s);
 }
 
 TEST(ChangeLog, WhatCannotBeReadIsNotTakenAndTheLogIsAskedAgainAtItsPace) {
@@ -171,7 +172,7 @@
     Follower f(log.server.address());
     ASSERT_TRUE(f.until([&] { return f.quiet == 1; })) << bad.substr(0, 80);
     EXPECT_TRUE(f.changes.empty());
-    f.pass(ChangeLog::kPause - 1ms);
+    f.pass(ChangeLog::kReconnectDelay - 1ms);
     EXPECT_EQ(log.askings(), 1U);
     ASSERT_TRUE(f.until([&] { return !f.changes.empty(); }, kCreep)) << bad.substr(0, 80);
   }
@@ -183,8 +184,8 @@
     read_call(socket);
     std::string out = "HTTP/1.1 200 x\r\n\r\n" + std::string(65536, ' ');
     std::size_t sent = 0;
-    while (sent < 64 * ChangeLog::kMostBody && socket.send(out)) sent += out.size();
-    left = sent < 64 * ChangeLog::kMostBody;
+    while (sent < 64 * ChangeLog::kMaxBodyBytes && socket.send(out)) sent += out.size();
+    left = sent < 64 * ChangeLog::kMaxBodyBytes;
   });
   Follower f(server.address());
   ASSERT_TRUE(f.until([&] { return f.quiet > 0; }));
@@ -220,8 +221,8 @@
       [](int n, const std::string&) { return n == 1 ? news(5, {event(5, "s-00000005")}) : std::string(); });
   Follower f(old.server.address());
   ASSERT_TRUE(f.until([&] { return old.askings() == 2; }, kCreep));
-  f.log.follow(old.server.address());  // no other: the connection stays
-  f.log.follow(moved.server.address());
+  f.log.set_address(old.server.address());  // no other: the connection stays
+  f.log.set_address(moved.server.address());
   ASSERT_TRUE(f.until([&] { return moved.askings() == 2; }, kCreep));
   EXPECT_EQ(f.engines(), (std::vector<std::uint32_t>{2, 5}));
   EXPECT_EQ(moved.asked.count([](auto& p) { return p == "/changes?since=4&timeout=0"; }), 1U);
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -84,7 +84,7 @@
     const auto end = std::chrono::steady_clock::now() + kPatience;
     while (!reached() && std::chrono::steady_clock::now() < end) {
       loop.run(ev::ONCE);
-      front.settle();
+      front.release_closed();
     }
     return reached();
   }
@@ -117,9 +117,9 @@
   for (int i = 0; i < 20; ++i) f.loop.run(ev::ONCE);
   EXPECT_EQ(f.count<core::RequestArrived>(), 1U);
   EXPECT_FALSE(client.socket.broken());
-  EXPECT_TRUE(f.front.unwritten());
+  EXPECT_TRUE(f.front.has_unsent_output());
   ::shutdown(client.socket.fd(), SHUT_WR);
-  EXPECT_TRUE(f.until([&] { return !f.front.unwritten(); }));
+  EXPECT_TRUE(f.until([&] { return !f.front.has_unsent_output(); }));
 }
 
 TEST(Crossings, ARequestThatWasReadInTheMomentOfTheEndIsAnswered) {
@@ -179,32 +179,32 @@
 TEST(Crossings, AQueryWaitsForADescriptorAndItsEngineIsNotBlamed) {
   ev::dynamic_loop loop;
   net::Fd listener = net::listen_tcp(net::parse_address("127.0.0.1:0").value());
-  net::Pool::Limits limits;
-  limits.dial_timeout = limits.idle_life = 60s;
-  net::Pool pool(loop, limits);
-  pool.place(1, net::local_address(listener.get()));
+  net::ConnectionPool::Limits limits;
+  limits.connect_timeout = limits.idle_timeout = 60s;
+  net::ConnectionPool pool(loop, limits);
+  pool.set_address(1, net::local_address(listener.get()));
   core::Time now = 1000s;
   pool.tick(now);
   rlimit before{};
   ::getrlimit(RLIMIT_NOFILE, &before);
   bool told = false;
-  net::Pool::Connection* got = nullptr;
-  pool.acquire(1, [&](net::Pool::Connection* connection) {
+  net::ConnectionPool::Connection* got = nullptr;
+  pool.acquire(1, [&](net::ConnectionPool::Connection* connection) {
     told = true;
     got = connection;
   });
   const rlimit full{0, before.rlim_max};
   ::setrlimit(RLIMIT_NOFILE, &full);
-  pool.settle();
-  pool.settle();
+  pool.process_pending();
+  pool.process_pending();
   ::setrlimit(RLIMIT_NOFILE, &before);
   EXPECT_FALSE(told);
   pool.tick(now += 5ms);
   const auto end = std::chrono::steady_clock::now() + kPatience;
   while (!told && std::chrono::steady_clock::now() < end) {
-    pool.settle();
+    pool.process_pending();
     loop.run(ev::ONCE);
-    pool.settle();
+    pool.process_pending();
   }
   EXPECT_NE(got, nullptr);
 }
--- a/tests/net/engines_test.cpp
+++ b/tests/net/engines_test.cpp
@@ -59,7 +59,7 @@
   }
   void turn() {
     engines_.tick(still ? *still : clock());
-    engines_.settle();
+    engines_.process_pending();
     ev::timer wake(loop_);  // so that a turn without news ends too
     wake.set<&Driven::nothing>();
     wake.start(0.005, 0);
@@ -72,12 +72,12 @@
   core::Time ahead{};               // of the clock, for the driver
 
  private:
-  static net::Pool::Limits limits() {
-    net::Pool::Limits out;
-    out.most = 8;
-    out.dial_timeout = 1s;
-    out.idle_life = 10s;
-    out.settle = 20ms;
+  static net::ConnectionPool::Limits limits() {
+    net::ConnectionPool::Limits out;
+    out.max_connections = 8;
+    out.connect_timeout = 1s;
+    out.idle_timeout = 10s;
+    out.reuse_delay = 20ms;
     return out;
   }
   static void nothing(ev::timer&, int) {}
--- a/tests/net/pool_test.cpp
+++ b/tests/net/pool_test.cpp
@@ -13,22 +13,22 @@
   PoolTest() : listener_(net::listen_tcp(net::parse_address("127.0.0.1:0").value())), pool_(loop_, limits()) {
     turn_.set<PoolTest, &PoolTest::on_turn>(this);
     turn_.start(0.001, 0.001);  // keeps the loop turning while nothing comes
-    pool_.place(1, net::local_address(listener_.get()));
+    pool_.set_address(1, net::local_address(listener_.get()));
     pool_.tick(1000s);
   }
-  static net::Pool::Limits limits() {
-    net::Pool::Limits out;
-    out.dial_timeout = 60s;
-    out.idle_life = 60s;
+  static net::ConnectionPool::Limits limits() {
+    net::ConnectionPool::Limits out;
+    out.connect_timeout = 60s;
+    out.idle_timeout = 60s;
     return out;
   }
   void on_turn(ev::timer&, int) {}
   void ask() {
-    pool_.acquire(1, [this](net::Pool::Connection* connection) {
+    pool_.acquire(1, [this](net::ConnectionPool::Connection* connection) {
       ++told_;
       got_ = connection;
     });
-    pool_.settle();
+    pool_.process_pending();
     dialled_ = pool_.take_counts().dialled;
   }
   bool until(const std::function<bool()>& reached) {
@@ -36,7 +36,7 @@
     while (!reached()) {  // once in each turn, as it may take what it finds
       if (std::chrono::steady_clock::now() > end) return false;
       loop_.run(ev::ONCE);
-      pool_.settle();
+      pool_.process_pending();
     }
     return true;
   }
@@ -50,10 +50,10 @@
   net::Fd listener_;
   ev::dynamic_loop loop_;
   ev::timer turn_{loop_};
-  net::Pool pool_;
+  net::ConnectionPool pool_;
   int told_ = 0;
   std::size_t dialled_ = 0;
-  net::Pool::Connection* got_ = nullptr;
+  net::ConnectionPool::Connection* got_ = nullptr;
 };
 
 TEST_F(PoolTest, AConnectionBrokenOffWhileItIsNewIsDialledAgain) {
@@ -88,17 +88,17 @@
   ASSERT_TRUE(until([&] { return told_ == 1; }));
   got_ = nullptr;
   LateListener late;
-  pool_.place(1, late.address());  // what is in use stays
+  pool_.set_address(1, late.address());  // what is in use stays
   ask();
   pool_.tick(1001s);
   peer.send("x");
   ASSERT_TRUE(until([&] { return pool_.size() == 1; }));
   pool_.tick(1061s);
-  pool_.settle();
+  pool_.process_pending();
   EXPECT_EQ(pool_.take_counts().dialled, 1U);
   EXPECT_EQ(told_, 1);
   pool_.tick(1122s);  // not a word since
-  pool_.settle();
+  pool_.process_pending();
   EXPECT_EQ(told_, 2);
   EXPECT_EQ(got_, nullptr);
 }
