--- a/tests/faults/clock_test.cpp
+++ b/tests/faults/clock_test.cpp
@@ -31,15 +31,15 @@
   // Returns when the first call for news has come, which is never answered.
   void serve_until_asked_for_news() {
     connection_.emplace(::accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC));
-    backlog_.emplace(Socket::to(address_));
-    read_call(*connection_);
-    connection_->send(http(202));
-    read_call(*connection_);
+    backlog_.emplace(Socket::connect_to(address_));
+    read_http_request(*connection_);
+    connection_->send(http_response(202));
+    read_http_request(*connection_);
     last_asked_ = steady_now();
   }
   [[nodiscard]] SteadyTime last_asked() const { return last_asked_; }
   // Once the broker tries to connect again.
-  void wait_until_dialled() const { wait_for_pending_connection(address_); }
+  void wait_until_connecting() const { wait_for_pending_connection(address_); }
 
  private:
   net::Fd listener_;
@@ -57,23 +57,23 @@
   Faults faults;
   PartitionedEngine silent;
   std::promise<SteadyTime> next_sent;
-  HttpEngine other([&](const Call& call) {
+  HttpEngine other([&](const HttpRequest& call) {
     if (call.method == "POST") next_sent.set_value(steady_now());
-    return rows("x\ty\tz\n");
+    return rows_response("x\ty\tz\n");
   });
   Broker broker({{"s-00000001", silent.address()}}, {}, 0, make_loads_unsafe, faults.environment());
   Client client(broker.address);
-  client.ask(1, "load", kStatement, kOrdered);
+  client.send_request(1, "load", kStatement, kOrdered);
   silent.serve_until_asked_for_news();
-  broker.changes.push({server("s-00000002", other.server.address())});
-  broker.changes.wait_until_told();
-  silent.wait_until_dialled();
+  broker.change_log.push({server_entry("s-00000002", other.server.address())});
+  broker.change_log.wait_until_processed();
+  silent.wait_until_connecting();
   faults.step_wall_clock(1h);
   // Those that are held for too long are refused; one is sent in the end.
   json answer;
   for (int id = 2; !answer.contains("result"); ++id) {
-    client.ask(id, "load", kStatement, kOrdered);
-    do answer = client.answer();
+    client.send_request(id, "load", kStatement, kOrdered);
+    do answer = client.read_response();
     while (answer["id"] != id);
   }
   EXPECT_GE(next_sent.get_future().get() - silent.last_asked(), kUnaskedLife);
@@ -82,37 +82,39 @@
 TEST(WallClock, AStepForwardFailsNoRequestThatHasTimeLeft) {
   Faults faults;
   std::atomic<bool> done = false;
-  HttpEngine engine([&](const Call&) { return done ? rows("x\ty\tz\n") : http(202); });
+  HttpEngine engine(
+      [&](const HttpRequest&) { return done ? rows_response("x\ty\tz\n") : http_response(202); });
   Broker broker({{"s-00000001", engine.server.address()}}, {}, 0, {}, faults.environment());
   Client client(broker.address);
-  client.ask(1, "once", kStatement);
-  engine.calls.wait([](const Call& call) { return call.method == "GET"; });
+  client.send_request(1, "once", kStatement);
+  engine.requests.wait_for([](const HttpRequest& call) { return call.method == "GET"; });
   faults.step_wall_clock(1h);
-  client.ask(2, "lookup", kStatement, {{"limit", 300}});
-  EXPECT_EQ(client.answer()["id"], 2);  // at its deadline: by then timers have been looked at
+  client.send_request(2, "lookup", kStatement, {{"limit", 300}});
+  EXPECT_EQ(client.read_response()["id"], 2);  // at its deadline: by then timers have been looked at
   done = true;
-  EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
+  EXPECT_EQ(result_body(client.read_response()), "x\ty\tz\n");
 }
 
 TEST(WallClock, AStepBackDelaysNoDeadline) {
   Faults faults;
-  HttpEngine engine([](const Call& call) { return http(call.method == "DELETE" ? 204 : 202); });
+  HttpEngine engine(
+      [](const HttpRequest& call) { return http_response(call.method == "DELETE" ? 204 : 202); });
   Broker broker({{"s-00000001", engine.server.address()}}, {}, 0, {}, faults.environment());
   Client client(broker.address);
-  client.ask(1, "once", kStatement, {{"limit", 2000}});
-  engine.calls.wait([](const Call& call) { return call.method == "GET"; });
+  client.send_request(1, "once", kStatement, {{"limit", 2000}});
+  engine.requests.wait_for([](const HttpRequest& call) { return call.method == "GET"; });
   faults.step_wall_clock(-1h);
-  EXPECT_TRUE(client.answer().contains("error"));
+  EXPECT_TRUE(client.read_response().contains("error"));
 }
 
 TEST(WallClock, AStepBackDelaysNoShutdown) {
   Faults faults;
-  HttpEngine engine([](const Call&) { return http(202); });
+  HttpEngine engine([](const HttpRequest&) { return http_response(202); });
   Broker broker({{"s-00000001", engine.server.address()}}, {}, 0, {}, faults.environment());
   faults.step_wall_clock(-1h);
-  broker.program->signal(SIGTERM);
-  broker.program->said("phase: exited");
-  EXPECT_EQ(broker.program->wait(), 0);
+  broker.program->send_signal(SIGTERM);
+  broker.program->wait_for_log_line("phase: exited");
+  EXPECT_EQ(broker.program->wait_for_exit(), 0);
 }
 
 }  // namespace
--- a/tests/faults/emulated_engine.hpp
+++ b/tests/faults/emulated_engine.hpp
@@ -34,8 +34,8 @@
 
   void serve(Socket& socket) {
     while (true) {
-      const auto call = read_call(socket);
-      if (socket.broken()) return;  // its caller has taken it back
+      const auto call = read_http_request(socket);
+      if (socket.is_reset()) return;  // its caller has taken it back
       socket.send(reply(call));
     }
   }
@@ -44,23 +44,23 @@
     while (SteadyClock::now().time_since_epoch().count() < hung_until_) std::this_thread::sleep_for(kStep);
   }
 
-  std::string reply(const Call& call) {
-    if (call.path.rfind("/-/", 0) == 0) return http(200, {}, "X-Meter: pending:0;x1:0.1;x0:0.1\r\n");
+  std::string reply(const HttpRequest& call) {
+    if (call.path.rfind("/-/", 0) == 0) return http_response(200, {}, "X-Meter: pending:0;x1:0.1;x0:0.1\r\n");
     if (call.method == "POST") return start(call.headers.at("X-Ticket"));
     const auto name = call.path.substr(std::string("/v1/store/").size());
     const auto ticket = name.substr(0, name.find('/'));
     if (call.method == "DELETE") return remove(ticket, "deleted");
-    return call.method == "GET" ? news(ticket) : http(204);
+    return call.method == "GET" ? news(ticket) : http_response(204);
   }
 
   // A query is out from when it has come whole, also where the engine stands still then.
   std::string start(const std::string& ticket) {
     const double luck = draw(), work = draw();
-    if (luck < behaviour_.shed) return http(503, {}, "X-Shed: 1\r\n");
+    if (luck < behaviour_.shed) return http_response(503, {}, "X-Shed: 1\r\n");
     record_.begins(ticket);
     if (luck < behaviour_.shed + behaviour_.error) {
       record_.ended(ticket, "error");
-      return http(500, "it failed");
+      return http_response(500, "it failed");
     }
     {
       const std::lock_guard lock(mutex_);
@@ -81,9 +81,9 @@
     stand_still();
     const auto hold_until = SteadyClock::now() + kHold;
     while (SteadyClock::now() < std::min(end, hold_until)) std::this_thread::sleep_for(kStep);
-    if (SteadyClock::now() < end) return http(202);
+    if (SteadyClock::now() < end) return http_response(202);
     record_.ended(ticket, "done");
-    return rows(ticket + "\ty\tz\n");
+    return rows_response(ticket + "\ty\tz\n");
   }
 
   std::optional<SteadyTime> end_of(const std::string& ticket) {
@@ -94,7 +94,7 @@
 
   std::string unknown() const {
     stand_still();
-    return http(500, "unknown");
+    return http_response(500, "unknown");
   }
 
   std::string remove(const std::string& ticket, const char* why, int status = 204) {
@@ -102,7 +102,7 @@
     record_.ended(ticket, why);
     const std::lock_guard lock(mutex_);
     ends_.erase(ticket);
-    return http(status);
+    return http_response(status);
   }
 
   double draw() {
--- a/tests/faults/fault_proxy.hpp
+++ b/tests/faults/fault_proxy.hpp
@@ -37,11 +37,11 @@
   void relay(Socket& from) {
     wait_out_cut();
     if (chance(faults_.reset_new)) return from.reset();
-    auto to = Socket::to(target_);
+    auto to = Socket::connect_to(target_);
     while (true) {
       pollfd both[] = {{from.fd(), POLLIN, 0}, {to.fd(), POLLIN, 0}};
       if (::poll(both, 2, kPollMs) == 0) continue;
-      if (wait_out_cut() && (from.broken() || to.broken())) return end(from, to);
+      if (wait_out_cut() && (from.is_reset() || to.is_reset())) return end(from, to);
       if ((both[0].revents != 0 && !pass(from, to)) || (both[1].revents != 0 && !pass(to, from)))
         return end(from, to);
     }
@@ -58,15 +58,15 @@
   }
 
   bool pass(Socket& from, Socket& to) {
-    from.in.clear();
+    from.received.clear();
     // What its sender has taken back is not passed on, though it may have come this far.
-    if (!from.more() || from.broken() || chance(faults_.reset_later)) return false;
+    if (!from.read_more() || from.is_reset() || chance(faults_.reset_later)) return false;
     std::this_thread::sleep_for(faults_.longest_delay * draw());
-    if (from.in.size() < 2 || !chance(faults_.split)) return to.send(from.in);
-    const auto half = from.in.size() / 2;
-    if (!to.send(from.in.substr(0, half))) return false;
+    if (from.received.size() < 2 || !chance(faults_.split)) return to.send(from.received);
+    const auto half = from.received.size() / 2;
+    if (!to.send(from.received.substr(0, half))) return false;
     std::this_thread::sleep_for(faults_.longest_delay * draw());
-    return to.send(from.in.substr(half));
+    return to.send(from.received.substr(half));
   }
 
   static void end(Socket& from, Socket& to) {
--- a/tests/faults/faults.hpp
+++ b/tests/faults/faults.hpp
@@ -13,7 +13,8 @@
 // The state that a test and the shim in its program share, in a file of its own.
 class Faults {
  public:
-  Faults() : path_(temporary(std::string(sizeof(FaultState), '\0'))), state_(map_fault_state(path_)) {
+  Faults()
+      : path_(write_temporary_file(std::string(sizeof(FaultState), '\0'))), state_(map_fault_state(path_)) {
     state_->random_state = 1;
   }
   ~Faults() {
--- a/tests/faults/suite_test.cpp
+++ b/tests/faults/suite_test.cpp
@@ -75,7 +75,8 @@
     for (int i = 0; i < (crowded() ? kCrowd : kClients); ++i)
       clients_.push_back(
           std::make_unique<TrafficClient>(record_, states_, random_() >> 32, habits, clients_stopped_));
-    for (int i = 0; crowded() && i < kCrowd; ++i) idle_.push_back(Socket::to(states_.front()->address));
+    for (int i = 0; crowded() && i < kCrowd; ++i)
+      idle_.push_back(Socket::connect_to(states_.front()->address));
   }
 
   // One fault, drawn from all kinds.
@@ -91,11 +92,11 @@
       case 1:
         return faults.step_wall_clock(-1h);
       case 2:
-        program.stop();
+        program.pause();
         std::this_thread::sleep_for(std::chrono::milliseconds(60 + random_() % 500));
-        return program.signal(SIGCONT);
+        return program.send_signal(SIGCONT);
       case 3:
-        return program.signal(SIGHUP);
+        return program.send_signal(SIGHUP);
       case 4:
         return engines_.at(engine)->hang_until(until);
       case 5:
@@ -121,7 +122,7 @@
     const auto old = engine_id(which, generation_.at(which));
     const auto fresh = engine_id(which, ++generation_.at(which));
     for (const auto& broker : brokers_)
-      broker->changes.push({server(old, address, "terminating"), server(fresh, address)});
+      broker->change_log.push({server_entry(old, address, "terminating"), server_entry(fresh, address)});
   }
 
   static std::string engine_id(std::size_t which, unsigned generation = 0) {
@@ -137,15 +138,15 @@
       const auto told = SteadyClock::now();
       states_.at(i)->told_to_end = told.time_since_epoch().count();
       states_.at(i)->answers_until = (told + (strict() ? kLatestOwed : 0ms)).time_since_epoch().count();
-      for (const int signal : {SIGHUP, SIGTERM, SIGHUP, SIGTERM, SIGINT}) program.signal(signal);
+      for (const int signal : {SIGHUP, SIGTERM, SIGHUP, SIGTERM, SIGINT}) program.send_signal(signal);
       if (random_() % 2 == 0) engines_.at(random_() % kEngines)->hang_until(told + 5s);
       if (strict()) {
         std::this_thread::sleep_until(told + kEarliestKill);
-        program.signal(SIGKILL);
+        program.send_signal(SIGKILL);
       } else {
-        program.said("phase: exited");
+        program.wait_for_log_line("phase: exited");
       }
-      if (const int status = program.wait(); status != 0)
+      if (const int status = program.wait_for_exit(); status != 0)
         record_.violated("broker " + std::to_string(i) + " ended with status " + std::to_string(status));
     }
   }
@@ -177,8 +178,7 @@
   clients_.clear();
   for (const auto& violation : record_.violations()) ADD_FAILURE() << violation;
   if (HasFailure()) {
-    for (const auto& broker : brokers_)
-      std::fputs((broker->program->everything_said() + "\n").c_str(), stderr);
+    for (const auto& broker : brokers_) std::fputs((broker->program->log_text() + "\n").c_str(), stderr);
   }
   auto answers = record_.answers();
   std::printf("seed %llu: %zu served, %zu refused, %zu failed\n", static_cast<unsigned long long>(GetParam()),
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -23,21 +23,22 @@
   const auto last = [](std::string answer) {
     return answer.replace(answer.find("\r\n"), 2, "\r\nConnection: close\r\n");
   };
-  HttpEngine engine(
-      [&](const Call& call) { return last(call.method == "POST" ? http(202) : rows("x\ty\tz\n")); });
+  HttpEngine engine([&](const HttpRequest& call) {
+    return last(call.method == "POST" ? http_response(202) : rows_response("x\ty\tz\n"));
+  });
   Broker broker({{"s-00000001", engine.server.address()}}, {}, 0, {}, faults.environment());
   faults->transient_only = true;
   for (const auto call : GetParam().calls)
     faults->failures_per_million[static_cast<std::size_t>(call)] = kOneInThree;
   for (int round = 0; round < kRounds; ++round) {
     Client client(broker.address);
-    client.ask(1, "once", kStatement, {{"txn", ticket(static_cast<unsigned>(2 * round))}});
-    client.ask(2, "lookup", kStatement, {{"txn", ticket(static_cast<unsigned>(2 * round + 1))}});
-    EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
-    EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
+    client.send_request(1, "once", kStatement, {{"txn", ticket(static_cast<unsigned>(2 * round))}});
+    client.send_request(2, "lookup", kStatement, {{"txn", ticket(static_cast<unsigned>(2 * round + 1))}});
+    EXPECT_EQ(result_body(client.read_response()), "x\ty\tz\n");
+    EXPECT_EQ(result_body(client.read_response()), "x\ty\tz\n");
   }
   EXPECT_GT(faults->injected, 0U);
-  EXPECT_EQ(broker.program->count_said("takes no connections"), 0U);
+  EXPECT_EQ(broker.program->count_log_lines("takes no connections"), 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Of, TransientFailure,
@@ -57,26 +58,26 @@
   Faults faults;
   faults->failures_per_million[static_cast<std::size_t>(FaultyCall::epoll_control)] = kAlways;
   Broker broker({{"s-00000001", "127.0.0.1:1"}}, {}, 0, {}, faults.environment());
-  broker.program->signal(SIGTERM);
-  broker.program->said("phase: exited");
-  EXPECT_EQ(broker.program->wait(), 0);
+  broker.program->send_signal(SIGTERM);
+  broker.program->wait_for_log_line("phase: exited");
+  EXPECT_EQ(broker.program->wait_for_exit(), 0);
 }
 
 // The configuration is asked for while it cannot be read, or while it is only half written.
 TEST(Reload, IsTriedAgainUntilTheConfigurationCanBeRead) {
   Faults faults;
-  HttpEngine engine([](const Call&) { return rows("x\ty\tz\n"); });
+  HttpEngine engine([](const HttpRequest&) { return rows_response("x\ty\tz\n"); });
   Broker broker({{"s-00000001", engine.server.address()}}, {}, 0, {}, faults.environment());
   ChangeLog moved;
-  moved.push(json::array({server("s-00000001", engine.server.address())}), true);
+  moved.push(json::array({server_entry("s-00000001", engine.server.address())}), true);
   auto config = broker.config;
   config["changelog"] = moved.address();
   const auto text = config.dump();
   broker.reload(text.substr(0, text.size() / 2));
-  broker.program->said("the configuration stays as it was");
+  broker.program->wait_for_log_line("the configuration stays as it was");
   std::ofstream(broker.configuration_file()) << text;
-  broker.program->said("the configuration was read again");
-  moved.wait_until_told();
+  broker.program->wait_for_log_line("the configuration was read again");
+  moved.wait_until_processed();
 }
 
 TEST(Start, WaitsForAnAddressThatIsStillInUse) {
@@ -84,17 +85,17 @@
   const auto address = predecessor->address();
   ChangeLog changes;
   changes.push(json::array(), true);
-  const auto file = temporary(json{
+  const auto file = write_temporary_file(json{
       {"name", "n0"},
       {"listen", address},
       {"seed", "8c1f30d27a5be964"},
       {"changelog", changes.address()},
-      {"known", changes.known()},
+      {"known", changes.snapshot()},
       {"settings", settings()}}.dump());
   Program program({"serve", "--config", file});
-  program.said("listen: " + address + ": Address already in use");
+  program.wait_for_log_line("listen: " + address + ": Address already in use");
   predecessor.reset();
-  program.said("phase: serving");
+  program.wait_for_log_line("phase: serving");
   ::unlink(file.c_str());
 }
 
--- a/tests/faults/traffic.hpp
+++ b/tests/faults/traffic.hpp
@@ -73,7 +73,7 @@
 
   void connect() {
     broker_ = brokers_.at(random_() % brokers_.size()).get();
-    socket_.emplace(Socket::to(broker_->address));
+    socket_.emplace(Socket::connect_to(broker_->address));
     last_id_ = 0;
     cancelled_.clear();
   }
@@ -128,7 +128,7 @@
     while (std::any_of(pending.begin(), pending.end(), [](const auto& p) { return !p.second.cancelled; })) {
       std::string line;
       try {
-        line = socket_->line();
+        line = socket_->read_line();
       } catch (const std::exception& error) {
         if (std::string(error.what()) == "nothing came") {
           for (const auto& [id, one] : pending) {
@@ -157,7 +157,8 @@
     cancelled_.erase(found->first);
     pending.erase(found);
     if (answer.contains("result")) {
-      if (body(answer) != ticket + "\ty\tz\n") record_.violated("another request's answer for " + ticket);
+      if (result_body(answer) != ticket + "\ty\tz\n")
+        record_.violated("another request's answer for " + ticket);
       return record_.answered(ticket, RunRecord::Answer::served);
     }
     const bool refused = answer["error"]["code"] == -32066;
--- a/tests/net/changelog_test.cpp
+++ b/tests/net/changelog_test.cpp
@@ -12,10 +12,10 @@
 using platform::ChangeLog;
 
 json event(int seq, const std::string& id, bool full = false) {
-  return {{"seq", seq}, {"fleet", {{"full", full}, {"servers", {server(id, "127.0.0.1:9")}}}}};
+  return {{"seq", seq}, {"fleet", {{"full", full}, {"servers", {server_entry(id, "127.0.0.1:9")}}}}};
 }
 std::string news(int last, const std::vector<json>& events = {}) {
-  return http(200, json{{"seq", last}, {"results", events}}.dump());
+  return http_response(200, json{{"seq", last}, {"results", events}}.dump());
 }
 
 // A change log: `answer` gives the bytes for call number n (from 1), empty for silence; the connection is
@@ -28,13 +28,13 @@
       : server([this, answer = std::move(answer), closes = std::move(closes)](Socket& socket) {
           connections.add(0);
           while (true) {
-            const auto path = read_call(socket).path;
+            const auto path = read_http_request(socket).path;
             const int n = ++calls;
             asked.add(path);
             socket.send(answer(n, path));
             if (!closes(n)) continue;
             ::shutdown(socket.fd(), SHUT_WR);
-            while (socket.more()) {
+            while (socket.read_more()) {
             }
             return;
           }
@@ -46,8 +46,8 @@
     return asked.count([](const std::string&) { return true; });
   }
   std::atomic<int> calls = 0;
-  Log<std::string> asked;
-  Log<int> connections;
+  Recorder<std::string> asked;
+  Recorder<int> connections;
   Server server;
 };
 
@@ -70,7 +70,7 @@
   // The clock creeps on, so that calls leave, but stops below every limit until the next answer is in: no
   // call is given up for want of a fast machine, and none is held back for good.
   bool until(const std::function<bool()>& reached, core::Time step = 0ms) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     auto most = now;
     for (std::size_t seen = heard() + 1; !reached() && std::chrono::steady_clock::now() < end;) {
       if (std::exchange(seen, heard()) != heard()) most = now + ChangeLog::kDial - 50ms;
@@ -162,11 +162,12 @@
 TEST(ChangeLog, WhatCannotBeReadIsNotTakenAndTheLogIsAskedAgainAtItsPace) {
   const auto good = news(2, {event(2, "s-00000002")});
   for (const std::string& bad :
-       {std::string("\x01\x02nonsense\r\n\r\n"), http(200, "{\"seq\":"), http(200, "[]"),
-        http(200, R"({"seq":-1,"results":[]})"),
-        http(200, R"({"seq":2,"results":[{"fleet":{"servers":[]}}]})"),
-        http(200, R"({"seq":2,"results":[{"seq":2,"fleet":{"servers":[{"id":"x","state":"odd"}]}}]})"),
-        http(500, "{}"), http(200, std::string(100'000, '['))}) {
+       {std::string("\x01\x02nonsense\r\n\r\n"), http_response(200, "{\"seq\":"), http_response(200, "[]"),
+        http_response(200, R"({"seq":-1,"results":[]})"),
+        http_response(200, R"({"seq":2,"results":[{"fleet":{"servers":[]}}]})"),
+        http_response(200,
+                      R"({"seq":2,"results":[{"seq":2,"fleet":{"servers":[{"id":"x","state":"odd"}]}}]})"),
+        http_response(500, "{}"), http_response(200, std::string(100'000, '['))}) {
     FakeLog log([&](int n, const std::string&) { return n == 1 ? bad : n == 2 ? good : std::string(); });
     Follower f(log.server.address());
     ASSERT_TRUE(f.until([&] { return f.quiet == 1; })) << bad.substr(0, 80);
@@ -180,7 +181,7 @@
 TEST(ChangeLog, AnAnswerWithoutEndIsLeftAtItsBound) {
   std::atomic<bool> left = false;
   Server server([&](Socket& socket) {
-    read_call(socket);
+    read_http_request(socket);
     std::string out = "HTTP/1.1 200 x\r\n\r\n" + std::string(65536, ' ');
     std::size_t sent = 0;
     while (sent < 64 * ChangeLog::kMostBody && socket.send(out)) sent += out.size();
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -10,32 +10,32 @@
 
 const std::string kSelect = "SELECT a FROM sales_17.orders";
 
-bool posts(const Call& call) { return call.method == "POST"; }
+bool posts(const HttpRequest& call) { return call.method == "POST"; }
 
 // ---- a connection that comes up late
 
 // A repeat is dropped as one only within its window, which may end while its connection is being made.
 TEST(Crossings, ARepeatWhoseConnectionComesUpAfterItsWindowIsNotSent) {
   std::promise<void> fail;
-  HttpEngine one([&, wait = fail.get_future().share()](const Call&) {
+  HttpEngine one([&, wait = fail.get_future().share()](const HttpRequest&) {
     wait.wait();
-    return http(500);
+    return http_response(500);
   });
-  LateListener two;  // its connections come up a second late at the least
+  FullBacklogListener two;  // its connections come up a second late at the least
   Broker broker({{"s-00000001", one.server.address()}}, {}, 0, [](json& config) {
     config["settings"]["classes"][1]["window"] = 1'000'000'000;  // of "load", which is keyed
   });
   Client client(broker.address);
-  client.ask(1, "load", kSelect);
-  one.calls.wait(posts);
-  broker.changes.push(
-      {server("s-00000001", one.server.address(), "terminating"), server("s-00000002", two.address())});
-  broker.changes.wait_until_told();
+  client.send_request(1, "load", kSelect);
+  one.requests.wait_for(posts);
+  broker.change_log.push({server_entry("s-00000001", one.server.address(), "terminating"),
+                          server_entry("s-00000002", two.address())});
+  broker.change_log.wait_until_processed();
   fail.set_value();
-  two.wait_until_dialled();
-  auto late = two.open();
-  EXPECT_EQ(client.answer()["error"]["code"], -32066);  // all engines drop its repeats
-  EXPECT_FALSE(late.waiting());
+  two.wait_until_connecting();
+  auto late = two.accept_pending();
+  EXPECT_EQ(client.read_response()["error"]["code"], -32066);  // all engines drop its repeats
+  EXPECT_FALSE(late.has_unread_bytes());
 }
 
 // ---- the end of the program
@@ -43,26 +43,27 @@
 // While engines are still being told of what was given up, a client that rested until now asks for more.
 TEST(Crossings, ARequestThatComesWhileTheProgramEndsIsNotSentOn) {
   std::promise<void> over;
-  HttpEngine engine([&, wait = over.get_future().share()](const Call& call) {
+  HttpEngine engine([&, wait = over.get_future().share()](const HttpRequest& call) {
     if (call.method == "DELETE") wait.wait();
-    return call.method == "POST" && call.headers.at("X-Queue") == "lookup" ? rows("x\ty\tz\n") : http(202);
+    return call.method == "POST" && call.headers.at("X-Queue") == "lookup" ? rows_response("x\ty\tz\n")
+                                                                           : http_response(202);
   });
   const std::shared_ptr<void> freed(nullptr, [&](void*) { over.set_value(); });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client rests(broker.address), leaves(broker.address);
-  rests.ask(1, "lookup", kSelect);
-  EXPECT_EQ(body(rests.answer()), "x\ty\tz\n");
-  leaves.ask(1, "once", kSelect, {{"txn", "00000000000000aa"}});
-  engine.calls.wait([](const Call& c) { return c.method == "GET"; });
+  rests.send_request(1, "lookup", kSelect);
+  EXPECT_EQ(result_body(rests.read_response()), "x\ty\tz\n");
+  leaves.send_request(1, "once", kSelect, {{"txn", "00000000000000aa"}});
+  engine.requests.wait_for([](const HttpRequest& c) { return c.method == "GET"; });
   leaves.cancel(1);
-  engine.calls.wait([](const Call& c) { return c.method == "DELETE"; });
-  broker.program->signal(SIGTERM);
-  broker.program->said("phase: stopping");
-  rests.ask(2, "lookup", kSelect);
-  while (rests.socket.more()) continue;  // refused, or the connection's end
-  EXPECT_EQ(rests.socket.in.find("result"), std::string::npos);
-  EXPECT_EQ(broker.program->wait(), 0);
-  EXPECT_EQ(engine.posts(), 2U);
+  engine.requests.wait_for([](const HttpRequest& c) { return c.method == "DELETE"; });
+  broker.program->send_signal(SIGTERM);
+  broker.program->wait_for_log_line("phase: stopping");
+  rests.send_request(2, "lookup", kSelect);
+  while (rests.socket.read_more()) continue;  // refused, or the connection's end
+  EXPECT_EQ(rests.socket.received.find("result"), std::string::npos);
+  EXPECT_EQ(broker.program->wait_for_exit(), 0);
+  EXPECT_EQ(engine.post_count(), 2U);
 }
 
 // The front by itself, on a loop and a clock of the test's own.
@@ -81,7 +82,7 @@
   }
   void on_turn(ev::timer&, int) {}
   bool until(const std::function<bool()>& reached) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     while (!reached() && std::chrono::steady_clock::now() < end) {
       loop.run(ev::ONCE);
       front.settle();
@@ -107,16 +108,16 @@
 TEST(Crossings, ClientsAreToldOfTheEndFirstAndWhatTheyStillSendIsReadAndDropped) {
   Fronted f;
   Client client(f.front.address());
-  client.ask(1, "lookup", kSelect);
+  client.send_request(1, "lookup", kSelect);
   ASSERT_TRUE(f.until([&] { return f.count<core::RequestArrived>() == 1; }));
   f.front.run(core::Answer{1, core::AnswerKind::served, {}, "x\ty\tz\n", {}});
   f.front.stop();
-  EXPECT_EQ(body(client.answer()), "x\ty\tz\n");
-  EXPECT_FALSE(client.socket.more());  // no more is written
-  client.ask(2, "lookup", kSelect);
+  EXPECT_EQ(result_body(client.read_response()), "x\ty\tz\n");
+  EXPECT_FALSE(client.socket.read_more());  // no more is written
+  client.send_request(2, "lookup", kSelect);
   for (int i = 0; i < 20; ++i) f.loop.run(ev::ONCE);
   EXPECT_EQ(f.count<core::RequestArrived>(), 1U);
-  EXPECT_FALSE(client.socket.broken());
+  EXPECT_FALSE(client.socket.is_reset());
   EXPECT_TRUE(f.front.unwritten());
   ::shutdown(client.socket.fd(), SHUT_WR);
   EXPECT_TRUE(f.until([&] { return !f.front.unwritten(); }));
@@ -125,12 +126,12 @@
 TEST(Crossings, ARequestThatWasReadInTheMomentOfTheEndIsAnswered) {
   Fronted f;
   Client client(f.front.address());
-  client.ask(1, "lookup", kSelect);
+  client.send_request(1, "lookup", kSelect);
   ASSERT_TRUE(f.until([&] { return f.count<core::RequestArrived>() == 1; }));
   f.front.stop();
   f.front.run(core::Answer{1, core::AnswerKind::rejected, 100ms, {}, {}});
-  EXPECT_EQ(client.answer()["error"]["code"], -32066);
-  EXPECT_FALSE(client.socket.more());  // no more is written
+  EXPECT_EQ(client.read_response()["error"]["code"], -32066);
+  EXPECT_FALSE(client.socket.read_more());  // no more is written
 }
 
 // ---- clients that are gone
@@ -138,38 +139,39 @@
 // One that has closed its side may still read: it is told, but nothing begins for it any more.
 TEST(Crossings, NothingBeginsForAClientThatHasEndedWhileItsRequestWaits) {
   std::atomic<bool> done = false;
-  HttpEngine engine([&](const Call&) { return done ? rows("x\ty\tz\n") : http(202); });
+  HttpEngine engine(
+      [&](const HttpRequest&) { return done ? rows_response("x\ty\tz\n") : http_response(202); });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client first(broker.address), second(broker.address);
   const json key{{"item", "7f3a9c21e0b4d655"}};
-  first.ask(1, "load", kSelect, key);
-  engine.calls.wait([](const Call& c) { return c.method == "GET"; });
+  first.send_request(1, "load", kSelect, key);
+  engine.requests.wait_for([](const HttpRequest& c) { return c.method == "GET"; });
   auto held = key;
   held["txn"] = "00000000000000aa";
-  second.ask(1, "load", kSelect, held);  // waits for the first one's end
+  second.send_request(1, "load", kSelect, held);  // waits for the first one's end
   ::shutdown(second.socket.fd(), SHUT_WR);
-  EXPECT_TRUE(first.green());  // by now the end has been heard of
+  EXPECT_TRUE(first.is_ready());  // by now the end has been heard of
   done = true;
-  EXPECT_EQ(body(first.answer()), "x\ty\tz\n");
-  EXPECT_EQ(second.answer()["error"]["code"], -32066);
-  EXPECT_EQ(engine.posts(), 1U);
+  EXPECT_EQ(result_body(first.read_response()), "x\ty\tz\n");
+  EXPECT_EQ(second.read_response()["error"]["code"], -32066);
+  EXPECT_EQ(engine.post_count(), 1U);
 }
 
 TEST(Crossings, NothingBeginsForAClientThatHasEndedWhenAnAttemptFails) {
   std::promise<void> fail;
-  HttpEngine engine([&, wait = fail.get_future().share()](const Call&) {
+  HttpEngine engine([&, wait = fail.get_future().share()](const HttpRequest&) {
     wait.wait();
-    return http(500);
+    return http_response(500);
   });
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address), other(broker.address);
-  client.ask(1, "lookup", kSelect);
-  engine.calls.wait(posts);
+  client.send_request(1, "lookup", kSelect);
+  engine.requests.wait_for(posts);
   ::shutdown(client.socket.fd(), SHUT_WR);
-  EXPECT_TRUE(other.green());  // by now the end has been heard of
+  EXPECT_TRUE(other.is_ready());  // by now the end has been heard of
   fail.set_value();
-  EXPECT_TRUE(client.answer().contains("error"));
-  EXPECT_EQ(engine.posts(), 1U);
+  EXPECT_TRUE(client.read_response().contains("error"));
+  EXPECT_EQ(engine.post_count(), 1U);
 }
 
 // ---- descriptors
@@ -200,7 +202,7 @@
   ::setrlimit(RLIMIT_NOFILE, &before);
   EXPECT_FALSE(told);
   pool.tick(now += 5ms);
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
   while (!told && std::chrono::steady_clock::now() < end) {
     pool.settle();
     loop.run(ev::ONCE);
@@ -231,7 +233,7 @@
   ::setrlimit(RLIMIT_NOFILE, &full);  // from its start: there is no reserve
   net::Listener listener(loop, std::move(fd), [&](net::Fd) { ++accepted; });
   ::setrlimit(RLIMIT_NOFILE, &before);
-  const auto client = Socket::to(address);
+  const auto client = Socket::connect_to(address);
   ::setrlimit(RLIMIT_NOFILE, &full);
   Bell bell(loop);
   int turns = 0;
@@ -239,7 +241,7 @@
   ::setrlimit(RLIMIT_NOFILE, &before);
   EXPECT_LT(turns, 10);  // left to itself, it would wake the loop in every one
   EXPECT_EQ(accepted, 0);
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
   while (accepted == 0 && std::chrono::steady_clock::now() < end) loop.run(ev::ONCE);
   EXPECT_EQ(accepted, 1);
 }
--- a/tests/net/engines_test.cpp
+++ b/tests/net/engines_test.cpp
@@ -20,7 +20,7 @@
   // In each turn the driver's clock gains `step`.
   template <class T>
   T wait(core::Time step = 0ms) {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kWaitTimeout;
     while (std::chrono::steady_clock::now() < until) {
       for (const auto& event : events) {
         if (const auto* found = std::get_if<T>(&event)) return *found;
@@ -36,9 +36,9 @@
         events, [](const core::Event& event) { return std::holds_alternative<T>(event); }));
   }
   // Turns of the loop until the engine has got such a call.
-  void until(HttpEngine& engine, const std::function<bool(const Call&)>& fits) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
-    while (engine.calls.count(fits) == 0) {
+  void until(HttpEngine& engine, const std::function<bool(const HttpRequest&)>& fits) {
+    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
+    while (engine.requests.count(fits) == 0) {
       if (std::chrono::steady_clock::now() > end) throw std::runtime_error("no such call");
       turn();
     }
@@ -85,21 +85,21 @@
   platform::Engines engines_;
 };
 
-bool put(const Call& call) { return call.method == "PUT"; }
-bool gone(const Call& call) { return call.method == "DELETE"; }
-bool poll(const Call& call) { return call.method == "GET"; }
+bool put(const HttpRequest& call) { return call.method == "PUT"; }
+bool gone(const HttpRequest& call) { return call.method == "DELETE"; }
+bool poll(const HttpRequest& call) { return call.method == "GET"; }
 
 TEST(Engines, APriorityIsPutBesideAQueryThatRuns) {
   std::atomic<bool> done = false;
-  HttpEngine engine([&](const Call& call) {
-    return put(call) ? http(204) : done ? rows("x\ty\tz\n") : http(202);
+  HttpEngine engine([&](const HttpRequest& call) {
+    return put(call) ? http_response(204) : done ? rows_response("x\ty\tz\n") : http_response(202);
   });
   Driven d(engine);
   d.start();
   d.until(engine, poll);
   d.run(core::SetPriority{d.id, 3});
   d.until(engine, put);
-  const auto call = engine.calls.wait(put);
+  const auto call = engine.requests.wait_for(put);
   EXPECT_EQ(call.path, "/v1/store/9b1f03aa5c7e2d41");
   EXPECT_EQ(call.body, "3");
   done = true;
@@ -109,28 +109,28 @@
 // A DELETE that overtook its statement would leave it running, unasked.
 TEST(Engines, AQueryIsDeletedOnlyOnceItsStatementHasComeWhole) {
   std::promise<void> answer;
-  HttpEngine engine([&, wait = answer.get_future().share()](const Call& call) {
+  HttpEngine engine([&, wait = answer.get_future().share()](const HttpRequest& call) {
     if (call.method == "POST") wait.wait();
-    return http(gone(call) ? 204 : 202);
+    return http_response(gone(call) ? 204 : 202);
   });
   Driven d(engine);
   d.start();
-  d.until(engine, [](const Call& c) { return c.method == "POST"; });
+  d.until(engine, [](const HttpRequest& c) { return c.method == "POST"; });
   d.run(core::CancelAttempt{d.id});
   d.run(core::ProbeEngine{7});  // goes out on another connection, as a DELETE would
   d.wait<core::ProbeEnded>();
-  EXPECT_EQ(engine.calls.count(gone), 0U);
+  EXPECT_EQ(engine.requests.count(gone), 0U);
   answer.set_value();
   EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
-  EXPECT_EQ(engine.calls.count(gone), 1U);
+  EXPECT_EQ(engine.requests.count(gone), 1U);
 }
 
 TEST(Engines, NewsAreAskedForAgainWhenAConnectionBreaksAndTheStatementIsNotSentTwice) {
   std::atomic<int> polls = 0;
-  HttpEngine engine([&](const Call& call) -> std::optional<std::string> {
-    if (call.method == "POST") return http(202);
+  HttpEngine engine([&](const HttpRequest& call) -> std::optional<std::string> {
+    if (call.method == "POST") return http_response(202);
     if (polls++ == 0) return std::nullopt;
-    return rows("x\ty\tz\n");
+    return rows_response("x\ty\tz\n");
   });
   Driven d(engine);
   d.start();
@@ -138,36 +138,36 @@
   EXPECT_EQ(ended.outcome, AttemptOutcome::served);
   EXPECT_EQ(ended.body, "x\ty\tz\n");
   EXPECT_EQ(ended.work, core::Time(5ms));
-  EXPECT_EQ(engine.posts(), 1U);
+  EXPECT_EQ(engine.post_count(), 1U);
 }
 
 // A connection can be lost without a word, as when a machine is cut off for a while.
 TEST(Engines, AStatementWithoutAWordIsAskedForOnAnotherConnectionAndNotSentTwice) {
   std::promise<void> over;
-  HttpEngine engine([&, wait = over.get_future().share()](const Call& call) {
+  HttpEngine engine([&, wait = over.get_future().share()](const HttpRequest& call) {
     if (call.method == "POST") wait.wait();
-    return rows("x\ty\tz\n");
+    return rows_response("x\ty\tz\n");
   });
   Driven d(engine);
   d.start();
-  d.until(engine, [](const Call& c) { return c.method == "POST"; });
+  d.until(engine, [](const HttpRequest& c) { return c.method == "POST"; });
   d.ahead = 2s;
   EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
-  EXPECT_EQ(engine.posts(), 1U);
+  EXPECT_EQ(engine.post_count(), 1U);
   over.set_value();
 }
 
 TEST(Engines, OnlyTheMarkProvesThatNothingRan) {
   const std::pair<std::string, AttemptOutcome> kAnswers[] = {
-      {http(503, {}, "X-Shed: 1\r\n"), AttemptOutcome::rejected},
-      {http(503), AttemptOutcome::error},
-      {http(504, {}, "X-Shed: 1\r\n"), AttemptOutcome::expired},
-      {http(504), AttemptOutcome::error},
-      {http(500), AttemptOutcome::error},
-      {http(200, "x\ty\tz\n", "Result-Pages: -1\r\n"), AttemptOutcome::query_dropped},
-      {http(200, "x\ty\tz\n"), AttemptOutcome::query_dropped},
-      {http(200, "x\ty\n", "Result-Pages: 1\r\n"), AttemptOutcome::query_dropped},
-      {http(200, "x\ty\tz", "Result-Pages: 1\r\n"), AttemptOutcome::query_dropped},
+      {http_response(503, {}, "X-Shed: 1\r\n"), AttemptOutcome::rejected},
+      {http_response(503), AttemptOutcome::error},
+      {http_response(504, {}, "X-Shed: 1\r\n"), AttemptOutcome::expired},
+      {http_response(504), AttemptOutcome::error},
+      {http_response(500), AttemptOutcome::error},
+      {http_response(200, "x\ty\tz\n", "Result-Pages: -1\r\n"), AttemptOutcome::query_dropped},
+      {http_response(200, "x\ty\tz\n"), AttemptOutcome::query_dropped},
+      {http_response(200, "x\ty\n", "Result-Pages: 1\r\n"), AttemptOutcome::query_dropped},
+      {http_response(200, "x\ty\tz", "Result-Pages: 1\r\n"), AttemptOutcome::query_dropped},
       {"HTTP/1.1 200 OK\r\nResult-Pages: 1\r\nContent-Length: 3000000000\r\n\r\nx",
        AttemptOutcome::connection_reset},
       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", AttemptOutcome::connection_reset}};
@@ -176,11 +176,11 @@
         expected == AttemptOutcome::connection_reset || expected == AttemptOutcome::query_dropped;
     std::atomic<bool> told = false;
     Server server([&, bytes = answer](Socket& socket) {
-      read_call(socket);
+      read_http_request(socket);
       socket.send(bytes);
-      if (!cut) socket.ended();
+      if (!cut) socket.read_to_end();
     });
-    HttpEngine unused([](const Call&) { return http(500); });
+    HttpEngine unused([](const HttpRequest&) { return http_response(500); });
     Driven d(unused);
     d.run(core::EngineUpdated{7, server.address()});
     d.still = d.clock();  // a slow machine is no silence; time passes only where the engine has to forget it
@@ -193,7 +193,7 @@
 
 // A spoilt answer's query has run: it is asked for again, on another connection, and not sent again.
 TEST(Engines, ASpoiltAnswerIsAskedForAgainAndAGoodOneWithMoreBehindItIsUsed) {
-  const std::string kGood = rows("x\ty\tz\n");
+  const std::string kGood = rows_response("x\ty\tz\n");
   const std::pair<std::string, std::size_t> kAnswers[] = {
       {"noise without end", 1},
       {kGood.substr(0, kGood.size() - 3), 1},
@@ -203,8 +203,8 @@
       {kGood + "noise", 0}};
   for (const auto& [answer, asked] : kAnswers) {
     std::atomic<bool> spoilt = false;
-    const auto statement = [](const Call& call) { return call.method == "POST"; };
-    HttpEngine engine([&, bytes = answer](const Call& call) {
+    const auto statement = [](const HttpRequest& call) { return call.method == "POST"; };
+    HttpEngine engine([&, bytes = answer](const HttpRequest& call) {
       return statement(call) && !spoilt.exchange(true) ? bytes : kGood;
     });
     Driven d(engine);
@@ -215,8 +215,8 @@
     const auto ended = d.wait<core::AttemptEnded>();
     EXPECT_EQ(ended.outcome, AttemptOutcome::served) << answer;
     EXPECT_EQ(ended.body, "x\ty\tz\n");
-    EXPECT_EQ(engine.posts(), 1U);
-    EXPECT_EQ(engine.calls.count(poll), asked) << answer;
+    EXPECT_EQ(engine.post_count(), 1U);
+    EXPECT_EQ(engine.requests.count(poll), asked) << answer;
     // The connection may hold what is no answer to the next call.
     d.events.clear();
     d.start();
@@ -225,9 +225,9 @@
 }
 
 TEST(Engines, AnEngineThatDoesNotKnowAQueryWhoseStatementWasCutOffProvesNothing) {
-  HttpEngine engine([](const Call& call) -> std::optional<std::string> {
+  HttpEngine engine([](const HttpRequest& call) -> std::optional<std::string> {
     if (call.method == "POST") return std::nullopt;
-    return http(500);
+    return http_response(500);
   });
   Driven d(engine);
   d.start();
@@ -236,32 +236,32 @@
 
 // Idle connections are let go before the engine closes them, so that no statement crosses the close.
 TEST(Engines, AnIdleConnectionIsLetGoAndTheNextStatementGoesOnANewOne) {
-  Log<int> ended;
+  Recorder<int> ended;
   Server server([&](Socket& socket) {
     try {
       while (true) {
-        read_call(socket);
-        socket.send(rows("x\ty\tz\n"));
+        read_http_request(socket);
+        socket.send(rows_response("x\ty\tz\n"));
       }
     } catch (const std::exception&) {
       ended.add(1);
     }
   });
-  HttpEngine unused([](const Call&) { return http(500); });
+  HttpEngine unused([](const HttpRequest&) { return http_response(500); });
   Driven d(unused);
   d.run(core::EngineUpdated{7, server.address()});
   d.start();
   EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
   d.ahead = 11s;
   d.turn();
-  ended.wait([](int) { return true; });
+  ended.wait_for([](int) { return true; });
   d.events.clear();
   d.start();
   EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
 }
 
 TEST(Engines, AProbeTellsTheReportAndARefusedConnectionThatNothingRan) {
-  HttpEngine engine([](const Call&) { return http(500); });
+  HttpEngine engine([](const HttpRequest&) { return http_response(500); });
   Driven d(engine);
   d.run(core::ProbeEngine{7});
   EXPECT_EQ(d.wait<core::ProbeEnded>().load, (std::vector<double>{0, 0.1, 0.1}));
@@ -275,11 +275,15 @@
   for (const bool paging : {false, true}) {
     std::promise<void> over;
     std::atomic<int> asked = 0;
-    const auto due = [paging](const Call& c) { return poll(c) && c.path.ends_with(paging ? "/1" : "/0"); };
-    HttpEngine engine([&, wait = over.get_future().share()](const Call& call) {
+    const auto due = [paging](const HttpRequest& c) {
+      return poll(c) && c.path.ends_with(paging ? "/1" : "/0");
+    };
+    HttpEngine engine([&, wait = over.get_future().share()](const HttpRequest& call) {
       if (due(call) && ++asked == 1) wait.wait();
-      if (call.path.ends_with("/1")) return http(200, "x\ty\tz\n", "Result-Page: 1\r\n");
-      return paging ? rows("x\ty\tz\n", 2) : poll(call) ? rows("x\ty\tz\n") : http(202);
+      if (call.path.ends_with("/1")) return http_response(200, "x\ty\tz\n", "Result-Page: 1\r\n");
+      return paging       ? rows_response("x\ty\tz\n", 2)
+             : poll(call) ? rows_response("x\ty\tz\n")
+                          : http_response(202);
     });
     const std::shared_ptr<void> freed(nullptr, [&](void*) { over.set_value(); });  // should a wait fail, too
     Driven d(engine);
@@ -287,55 +291,56 @@
     d.until(engine, due);
     d.still = d.clock() + 450ms;
     EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
-    EXPECT_EQ(engine.calls.count(due), 2U);
+    EXPECT_EQ(engine.requests.count(due), 2U);
   }
 }
 
 // A query outlives its connections: until its engine has been told, a second copy elsewhere would run beside
 // it.
 TEST(Engines, AQueryWhoseNewsCannotBeHadIsDeletedBeforeItEnds) {
-  HttpEngine engine([](const Call& call) -> std::optional<std::string> {
+  HttpEngine engine([](const HttpRequest& call) -> std::optional<std::string> {
     if (poll(call)) return std::nullopt;
-    return http(gone(call) ? 204 : 202);
+    return http_response(gone(call) ? 204 : 202);
   });
   Driven d(engine);
   d.start();
   EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::query_dropped);
-  EXPECT_EQ(engine.calls.count(gone), 1U);
+  EXPECT_EQ(engine.requests.count(gone), 1U);
 }
 
 TEST(Engines, ADeleteThatBreaksOffIsMadeAgain) {
   std::atomic<int> deletes = 0;
-  HttpEngine engine([&](const Call& call) -> std::optional<std::string> {
+  HttpEngine engine([&](const HttpRequest& call) -> std::optional<std::string> {
     if (gone(call) && ++deletes < 3) return std::nullopt;
-    return http(gone(call) ? 204 : 202);
+    return http_response(gone(call) ? 204 : 202);
   });
   Driven d(engine);
   d.start();
   d.until(engine, poll);
   d.run(core::CancelAttempt{d.id});
   EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
-  EXPECT_EQ(engine.calls.count(gone), 3U);
+  EXPECT_EQ(engine.requests.count(gone), 3U);
 }
 
 TEST(Engines, AnEngineThatBreaksOffEveryCallHoldsNoAttemptForEver) {
   std::atomic<bool> broken = false;
-  HttpEngine engine([&](const Call&) { return broken ? std::nullopt : std::optional(http(202)); });
+  HttpEngine engine(
+      [&](const HttpRequest&) { return broken ? std::nullopt : std::optional(http_response(202)); });
   Driven d(engine);
   d.start();
   d.until(engine, poll);
   broken = true;
   EXPECT_EQ(d.wait<core::AttemptEnded>(50ms).outcome, AttemptOutcome::connection_reset);
-  EXPECT_GT(engine.calls.count(gone), 1U);
+  EXPECT_GT(engine.requests.count(gone), 1U);
 }
 
 // Whether a DELETE has come can't be told from silence: the query may go on at an engine that is cut off.
 TEST(Engines, ADeleteWithoutAWordIsMadeAgainAndTheAttemptIsOutUntilThen) {
   std::promise<void> over;
   std::atomic<int> deletes = 0;
-  HttpEngine engine([&, wait = over.get_future().share()](const Call& call) {
+  HttpEngine engine([&, wait = over.get_future().share()](const HttpRequest& call) {
     if (gone(call) && ++deletes == 1) wait.wait();
-    return http(gone(call) ? 204 : 202);
+    return http_response(gone(call) ? 204 : 202);
   });
   const std::shared_ptr<void> freed(nullptr, [&](void*) { over.set_value(); });
   Driven d(engine);
@@ -352,7 +357,7 @@
 }
 
 TEST(Engines, AQueryWhoseEngineIsOutOfReachIsOutUntilTheEngineHasEndedItUnasked) {
-  HttpEngine engine([](const Call&) { return http(202); });
+  HttpEngine engine([](const HttpRequest&) { return http_response(202); });
   Driven d(engine);
   d.start();
   d.until(engine, poll);
@@ -375,23 +380,23 @@
 // The last call for its news is answered well while the engine is being told: its connection is free then,
 // and may go at any time.
 TEST(Engines, AConnectionThatEndsWhileItsQueryIsDeletedIsNotTouchedAgain) {
-  Log<std::string> calls;
+  Recorder<std::string> calls;
   std::promise<void> abandoned, closed;
   Server server(
       [&, answer = abandoned.get_future().share(), go = closed.get_future().share()](Socket& socket) {
         while (true) {
-          const auto call = read_call(socket);
+          const auto call = read_http_request(socket);
           calls.add(call.method);
           if (call.method == "DELETE") go.wait();
           if (call.method == "GET") answer.wait();
-          socket.send(http(call.method == "DELETE" ? 204 : 202));
+          socket.send(http_response(call.method == "DELETE" ? 204 : 202));
           if (call.method != "GET") continue;
           ::shutdown(socket.fd(), SHUT_WR);
-          socket.ended();  // the driver has closed it too
+          socket.read_to_end();  // the driver has closed it too
           return closed.set_value();
         }
       });
-  HttpEngine unused([](const Call&) { return http(500); });
+  HttpEngine unused([](const HttpRequest&) { return http_response(500); });
   Driven d(unused);
   d.run(core::EngineUpdated{7, server.address()});
   d.start();
@@ -411,12 +416,12 @@
   std::atomic<int> queries = 0;
   Server server([&](Socket& socket) {
     for (int here = 0;; ++here) {
-      read_call(socket);
+      read_http_request(socket);
       // On a connection that has given an answer, that one comes once more.
-      socket.send(rows(here == 0 && ++queries == 2 ? "second\ty\tz\n" : "first\ty\tz\n"));
+      socket.send(rows_response(here == 0 && ++queries == 2 ? "second\ty\tz\n" : "first\ty\tz\n"));
     }
   });
-  HttpEngine unused([](const Call&) { return http(500); });
+  HttpEngine unused([](const HttpRequest&) { return http_response(500); });
   Driven d(unused);
   d.run(core::EngineUpdated{7, server.address()});
   d.still = d.clock();
@@ -434,13 +439,15 @@
   Server server([&](Socket& socket) {
     const bool first = ++connections == 1;
     for (int here = 0;; ++here) {
-      read_call(socket);
+      read_http_request(socket);
       // The statement, a call for news and one more, as the copy was taken for the answer to that; then the
       // answer comes twice, since it was asked for twice.
-      socket.send(!first ? rows("second\ty\tz\n") : here < 2 ? http(202) : rows("first\ty\tz\n"));
+      socket.send(!first     ? rows_response("second\ty\tz\n")
+                  : here < 2 ? http_response(202)
+                             : rows_response("first\ty\tz\n"));
     }
   });
-  HttpEngine unused([](const Call&) { return http(500); });
+  HttpEngine unused([](const HttpRequest&) { return http_response(500); });
   Driven d(unused);
   d.run(core::EngineUpdated{7, server.address()});
   d.still = d.clock();
@@ -455,9 +462,9 @@
 // Its connection broke with the statement on the way, and another one was faster.
 TEST(Engines, AStatementThatComesAfterItsEngineDidNotKnowItIsFollowedToItsEnd) {
   std::atomic<int> polls = 0;
-  HttpEngine engine([&](const Call& call) -> std::optional<std::string> {
+  HttpEngine engine([&](const HttpRequest& call) -> std::optional<std::string> {
     if (call.method == "POST") return std::nullopt;
-    return polls++ == 0 ? http(500) : rows("x\ty\tz\n");
+    return polls++ == 0 ? http_response(500) : rows_response("x\ty\tz\n");
   });
   Driven d(engine);
   d.start();
@@ -466,17 +473,17 @@
 
 TEST(Engines, AStatementThatComesAfterItsDeleteIsDeletedOnceMore) {
   std::promise<void> over;
-  HttpEngine engine([&, wait = over.get_future().share()](const Call& call) {
+  HttpEngine engine([&, wait = over.get_future().share()](const HttpRequest& call) {
     if (call.method == "POST") wait.wait();
-    return http(204);
+    return http_response(204);
   });
   const std::shared_ptr<void> freed(nullptr, [&](void*) { over.set_value(); });
   Driven d(engine);
   d.start();
-  d.until(engine, [](const Call& c) { return c.method == "POST"; });
+  d.until(engine, [](const HttpRequest& c) { return c.method == "POST"; });
   d.run(core::CancelAttempt{d.id});
   EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
-  EXPECT_EQ(engine.calls.count(gone), 2U);
+  EXPECT_EQ(engine.requests.count(gone), 2U);
 }
 
 }  // namespace
--- a/tests/net/extras_test.cpp
+++ b/tests/net/extras_test.cpp
@@ -14,15 +14,15 @@
 class Scripted {
  public:
   explicit Scripted(const std::string& script, int time_ms = 10000)
-      : file_(temporary(script)),
-        engine([](const Call&) { return rows("a\tb\tc\n"); }),
+      : file_(write_temporary_file(script)),
+        engine([](const HttpRequest&) { return rows_response("a\tb\tc\n"); }),
         broker({{"s-00000001", engine.server.address()}},
                {{"plugin", {{"script", file_}, {"time_ms", time_ms}}}}),
         client(broker.address) {}
   ~Scripted() { ::unlink(file_.c_str()); }
   json ask(const std::string& statement) {
-    client.ask(++last_, "lookup", statement);
-    return client.answer();
+    client.send_request(++last_, "lookup", statement);
+    return client.read_response();
   }
 
  private:
@@ -43,8 +43,8 @@
   const auto error = s.ask("SELECT a FROM sales_9.x")["error"];
   EXPECT_EQ(error["code"], -32066);
   EXPECT_EQ(error["data"]["later"], 120);
-  EXPECT_EQ(body(s.ask("SELECT a FROM sales_8.x")), "a\tb\tc\n");
-  EXPECT_EQ(s.engine.posts(), 1U);
+  EXPECT_EQ(result_body(s.ask("SELECT a FROM sales_8.x")), "a\tb\tc\n");
+  EXPECT_EQ(s.engine.post_count(), 1U);
 }
 
 TEST(Plugin, AScriptThatFailsChangesNothingAndIsLogged) {
@@ -56,22 +56,22 @@
         {"function admit(r) return os.exit(1) end", "attempt to index a nil value"},
         {"function admit(r) error(42) end", "it failed"}}) {
     Scripted s(script, said == std::string("it took too long") ? 20 : 10000);
-    EXPECT_EQ(body(s.ask("SELECT 1")), "a\tb\tc\n") << script;
-    s.broker.program->said(said);
+    EXPECT_EQ(result_body(s.ask("SELECT 1")), "a\tb\tc\n") << script;
+    s.broker.program->wait_for_log_line(said);
   }
 }
 
 TEST(Plugin, AScriptThatCannotBeUsedIsToldAtTheStart) {
-  const auto script = temporary("function admit(r"),
-             fronts = temporary(json{{"plugin", {{"script", script}}}}.dump());
-  const auto config = temporary(json{
+  const auto script = write_temporary_file("function admit(r"),
+             fronts = write_temporary_file(json{{"plugin", {{"script", script}}}}.dump());
+  const auto config = write_temporary_file(json{
       {"listen", "127.0.0.1:0"},
       {"changelog", "127.0.0.1:1"},
       {"seed", "1"},
       {"settings", settings()}}.dump());
   Program program({"check-config", "--config", config, "--fronts", fronts});
-  program.said("plugin.script: ");
-  EXPECT_NE(program.wait(), 0);
+  program.wait_for_log_line("plugin.script: ");
+  EXPECT_NE(program.wait_for_exit(), 0);
   for (const auto& file : {script, fronts, config}) ::unlink(file.c_str());
 }
 
@@ -100,11 +100,11 @@
  public:
   explicit LdapServer(bool silent = false)
       : server([this, silent](Socket& socket) { serve(socket, silent); }) {}
-  Log<std::string> asked;  // filters' values and names that bound
+  Recorder<std::string> asked;  // filters' values and names that bound
 
  private:
   void serve(Socket& socket, bool silent) {
-    while (socket.more()) {
+    while (socket.read_more()) {
       try {
         while (!silent) answer(socket);
       } catch (const std::out_of_range&) {
@@ -113,12 +113,12 @@
     }
   }
   void answer(Socket& socket) {
-    auto rest = socket.in;
+    auto rest = socket.received;
     auto message = untlv(rest);
     const auto id = untlv(message);
     int operation = 0;
     auto what = untlv(message, &operation);
-    socket.in = rest;
+    socket.received = rest;
     const auto say = [&](int tag, const std::string& value) {
       socket.send(tlv(0x30, tlv(0x02, id) + tlv(tag, value)));
     };
@@ -161,9 +161,9 @@
 
 TEST(Directory, UsersComeFromItWithTheirTenantsAndAreRemembered) {
   LdapServer ldap;
-  HttpEngine engine([](const Call&) { return rows("a\tb\tc\n"); });
+  HttpEngine engine([](const HttpRequest&) { return rows_response("a\tb\tc\n"); });
   Broker broker({{"s-00000001", engine.server.address()}}, with_directory(ldap.server.address()));
-  const auto mysql = broker.program->listens("mysql.listen");
+  const auto mysql = broker.program->listen_address("mysql.listen");
   for (int i = 0; i < 3; ++i) {
     MysqlClient client(mysql, "amina", "pass");
     ASSERT_EQ(client.login[0], 0);
@@ -180,16 +180,16 @@
 }
 
 TEST(Directory, OneThatIsDeadOrSilentHoldsNobodyUp) {
-  HttpEngine engine([](const Call&) { return rows("a\tb\tc\n"); });
+  HttpEngine engine([](const HttpRequest&) { return rows_response("a\tb\tc\n"); });
   LdapServer silent(true), dead;
   dead.server.stop();
   for (const auto& address : {silent.server.address(), dead.server.address()}) {
     Broker broker({{"s-00000001", engine.server.address()}}, with_directory(address));
-    const auto mysql = broker.program->listens("mysql.listen");
+    const auto mysql = broker.program->listen_address("mysql.listen");
     auto waiting = std::async(std::launch::async, [&] { return MysqlClient(mysql, "amina", "pass").login; });
     Client client(broker.address);
-    client.ask(1, "lookup", "SELECT 1");
-    EXPECT_EQ(body(client.answer()), "a\tb\tc\n");
+    client.send_request(1, "lookup", "SELECT 1");
+    EXPECT_EQ(result_body(client.read_response()), "a\tb\tc\n");
     EXPECT_EQ(mysql::read_error(waiting.get()).code, 1429);
   }
 }
--- a/tests/net/harness.hpp
+++ b/tests/net/harness.hpp
@@ -1,6 +1,6 @@
 // The real program as a process, and stand-ins for what it talks to: clients, engines, the change log. All on
 // loopback addresses, at ports that the system chooses. Nothing here waits for time to pass; what does not
-// come ends a test after kPatience.
+// come ends a test after kWaitTimeout.
 #pragma once
 
 #include <arpa/inet.h>
@@ -39,15 +39,15 @@
 
 using namespace std::chrono_literals;
 using nlohmann::json;
-constexpr auto kPatience = 20s;
+constexpr auto kWaitTimeout = 20s;
 
 class Socket {
  public:
   explicit Socket(int fd) : fd_(fd) {
-    const timeval patience{kPatience / 1s, 0};
+    const timeval patience{kWaitTimeout / 1s, 0};
     ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
   }
-  static Socket to(const std::string& address) {
+  static Socket connect_to(const std::string& address) {
     const auto at = net::parse_address(address).value();
     Socket out(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     if (::connect(out.fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
@@ -58,34 +58,34 @@
     return ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size());
   }
   // False at the connection's end.
-  bool more() {
+  bool read_more() {
     char buffer[16384];
     const auto got = ::recv(fd_.get(), buffer, sizeof buffer, 0);
     if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) throw std::runtime_error("nothing came");
     if (got <= 0) return false;
-    in.append(buffer, static_cast<std::size_t>(got));
+    received.append(buffer, static_cast<std::size_t>(got));
     return true;
   }
-  std::string line() {
+  std::string read_line() {
     std::size_t end = 0;
-    while ((end = in.find('\n')) == std::string::npos) {
-      if (!more()) throw std::runtime_error("the connection has ended");
+    while ((end = received.find('\n')) == std::string::npos) {
+      if (!read_more()) throw std::runtime_error("the connection has ended");
     }
-    auto out = in.substr(0, end);
-    in.erase(0, end + 1);
+    auto out = received.substr(0, end);
+    received.erase(0, end + 1);
     return out;
   }
-  bool waiting() {  // bytes have come that were not read yet
+  bool has_unread_bytes() {  // bytes have come that were not read yet
     char byte = 0;
     return ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
   }
-  bool broken() {  // reset by its peer
+  bool is_reset() {  // reset by its peer
     int error = 0;
     socklen_t size = sizeof error;
     return ::getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0;
   }
-  bool ended() {
-    while (more()) in.clear();
+  bool read_to_end() {
+    while (read_more()) received.clear();
     return true;
   }
   void reset() {  // as a dying process does
@@ -94,7 +94,7 @@
     fd_.reset();
   }
   [[nodiscard]] int fd() const { return fd_.get(); }
-  std::string in;
+  std::string received;
 
  private:
   net::Fd fd_;
@@ -161,17 +161,17 @@
   std::thread acceptor_;
 };
 
-struct Call {
+struct HttpRequest {
   std::string method, path, body;
   std::map<std::string, std::string> headers;
 };
-inline Call read_call(Socket& socket) {
+inline HttpRequest read_http_request(Socket& socket) {
   std::size_t end = 0;
-  while ((end = socket.in.find("\r\n\r\n")) == std::string::npos) {
-    if (!socket.more()) throw std::runtime_error("the connection has ended");
+  while ((end = socket.received.find("\r\n\r\n")) == std::string::npos) {
+    if (!socket.read_more()) throw std::runtime_error("the connection has ended");
   }
-  Call out;
-  std::istringstream head(socket.in.substr(0, end + 2));
+  HttpRequest out;
+  std::istringstream head(socket.received.substr(0, end + 2));
   std::string line;
   std::getline(head, line);
   out.method = line.substr(0, line.find(' '));
@@ -182,46 +182,47 @@
       out.headers[line.substr(0, colon)] = line.substr(colon + 2, line.size() - colon - 3);
   }
   const auto size = out.headers.contains("Content-Length") ? std::stoul(out.headers["Content-Length"]) : 0;
-  while (socket.in.size() < end + 4 + size) {
-    if (!socket.more()) throw std::runtime_error("the connection has ended");
+  while (socket.received.size() < end + 4 + size) {
+    if (!socket.read_more()) throw std::runtime_error("the connection has ended");
   }
-  out.body = socket.in.substr(end + 4, size);
-  socket.in.erase(0, end + 4 + size);
+  out.body = socket.received.substr(end + 4, size);
+  socket.received.erase(0, end + 4 + size);
   return out;
 }
-inline std::string http(int status, const std::string& body = {}, const std::string& headers = {}) {
+inline std::string http_response(int status, const std::string& body = {}, const std::string& headers = {}) {
   return "HTTP/1.1 " + std::to_string(status) + " x\r\n" + headers +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-inline std::string rows(const std::string& body, int pages = 1) {
-  return http(200, body, "Result-Pages: " + std::to_string(pages) + "\r\nQuery-Cost: 5\r\nQuery-Need: 8\r\n");
+inline std::string rows_response(const std::string& body, int pages = 1) {
+  return http_response(200, body,
+                       "Result-Pages: " + std::to_string(pages) + "\r\nQuery-Cost: 5\r\nQuery-Need: 8\r\n");
 }
 
 // Things that have happened, which a test can wait for.
 template <class T>
-class Log {
+class Recorder {
  public:
   void add(T item) {
     const std::lock_guard lock(mutex_);
     items_.push_back(std::move(item));
     changed_.notify_all();
   }
-  // The first that fits, once it has come.
-  T wait(const std::function<bool(const T&)>& fits) {
+  // The first that matches, once it has come.
+  T wait_for(const std::function<bool(const T&)>& matches) {
     std::unique_lock lock(mutex_);
     std::optional<T> found;
-    changed_.wait_for(lock, kPatience, [&] {
+    changed_.wait_for(lock, kWaitTimeout, [&] {
       for (const auto& item : items_) {
-        if (!found && fits(item)) found = item;
+        if (!found && matches(item)) found = item;
       }
       return found.has_value();
     });
     if (!found) throw std::runtime_error("what was waited for did not happen, after " + describe_locked());
     return *found;
   }
-  std::size_t count(const std::function<bool(const T&)>& fits) {
+  std::size_t count(const std::function<bool(const T&)>& matches) {
     const std::lock_guard lock(mutex_);
-    return static_cast<std::size_t>(std::count_if(items_.begin(), items_.end(), fits));
+    return static_cast<std::size_t>(std::count_if(items_.begin(), items_.end(), matches));
   }
 
   std::string describe() {
@@ -246,14 +247,14 @@
 // An engine that speaks HTTP: `answer` gives the bytes to send for a call, or none to reset the connection.
 class HttpEngine {
  public:
-  using Answer = std::function<std::optional<std::string>(const Call&)>;
+  using Answer = std::function<std::optional<std::string>(const HttpRequest&)>;
   explicit HttpEngine(Answer answer)
       : server([this, answer = std::move(answer)](Socket& socket) {
           while (true) {
-            const auto call = read_call(socket);
-            calls.add(call);
+            const auto call = read_http_request(socket);
+            requests.add(call);
             if (call.path.rfind("/-/", 0) == 0) {
-              socket.send(http(200, {}, "X-Meter: pending:0;x1:0.1;x0:0.1\r\n"));
+              socket.send(http_response(200, {}, "X-Meter: pending:0;x1:0.1;x0:0.1\r\n"));
               continue;
             }
             const auto reply = answer(call);
@@ -261,10 +262,10 @@
             socket.send(*reply);
           }
         }) {}
-  std::size_t posts() {
-    return calls.count([](const Call& c) { return c.method == "POST"; });
+  std::size_t post_count() {
+    return requests.count([](const HttpRequest& c) { return c.method == "POST"; });
   }
-  Log<Call> calls;
+  Recorder<HttpRequest> requests;
   Server server;
 };
 
@@ -277,21 +278,21 @@
         {{"seq", events_.size() + 1}, {"fleet", {{"full", full}, {"servers", std::move(servers)}}}});
     changed_.notify_all();
   }
-  json known() {
+  json snapshot() {
     const std::lock_guard lock(mutex_);
     return {{"seq", events_.size()}, {"results", events_}};
   }
   [[nodiscard]] const std::string& address() const { return server_.address(); }
   // Once the broker has asked for what follows the last event, it has dealt with all before.
-  void wait_until_told() {
-    const auto last = "/changes?since=" + std::to_string(known()["seq"].get<int>()) + "&timeout=1000";
-    asked_.wait([&](const std::string& path) { return path == last; });
+  void wait_until_processed() {
+    const auto last = "/changes?since=" + std::to_string(snapshot()["seq"].get<int>()) + "&timeout=1000";
+    asked_.wait_for([&](const std::string& path) { return path == last; });
   }
 
  private:
   void serve(Socket& socket) {
     while (true) {
-      const auto call = read_call(socket);
+      const auto call = read_http_request(socket);
       asked_.add(call.path);
       const auto since = std::stoul(call.path.substr(call.path.find('=') + 1));
       const auto hold = std::stoul(call.path.substr(call.path.rfind('=') + 1));
@@ -304,13 +305,13 @@
         out["results"] = json::array();
         for (std::size_t i = since; i < events_.size(); ++i) out["results"].push_back(events_[i]);
       }
-      socket.send(http(200, out.dump()));
+      socket.send(http_response(200, out.dump()));
     }
   }
   std::mutex mutex_;
   std::condition_variable changed_;
   std::vector<json> events_;
-  Log<std::string> asked_;
+  Recorder<std::string> asked_;
   Server server_;
 };
 
@@ -319,7 +320,7 @@
   const auto port = net::parse_address(address).value().sin_port;
   char remote[32];
   std::snprintf(remote, sizeof remote, ":%04X 02 ", ntohs(port));  // in the state "SYN sent"
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
   while (std::chrono::steady_clock::now() < end) {
     std::ifstream in("/proc/net/tcp");
     for (std::string line; std::getline(in, line);) {
@@ -332,23 +333,23 @@
 
 // A listener that lets no connection come up before open(): its queue is full, so the system drops what
 // comes.
-class LateListener {
+class FullBacklogListener {
  public:
-  LateListener() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0)) {
+  FullBacklogListener() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0)) {
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     if (::bind(fd_.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 || ::listen(fd_.get(), 0) != 0)
       throw std::runtime_error("cannot listen");
     address_ = net::local_address(fd_.get());
-    filler_.emplace(Socket::to(address_));
+    filler_.emplace(Socket::connect_to(address_));
   }
   [[nodiscard]] const std::string& address() const { return address_; }
   // Once somebody else dials it.
-  void wait_until_dialled() const { wait_for_pending_connection(address_); }
+  void wait_until_connecting() const { wait_for_pending_connection(address_); }
   // Lets them come up, once the system tries again: the first of them.
-  Socket open() {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+  Socket accept_pending() {
+    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     for (int taken = 0; std::chrono::steady_clock::now() < end;) {
       const int fd = ::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC);
       if (fd < 0) {
@@ -367,7 +368,8 @@
   std::optional<Socket> filler_;
 };
 
-inline json server(const std::string& id, const std::string& address, const char* state = "in_service") {
+inline json server_entry(const std::string& id, const std::string& address,
+                         const char* state = "in_service") {
   return {{"id", id},  {"addr", address}, {"zone", "dc1"}, {"kind", "std-8"},
           {"cell", 0}, {"state", state},  {"weight", 1},   {"started_ms", 0}};
 }
@@ -402,7 +404,7 @@
       {"report", {{"how", "pull"}, {"fields", {"pending", "x1", "x0"}}}}};
 }
 
-inline std::string temporary(const std::string& text) {
+inline std::string write_temporary_file(const std::string& text) {
   std::string path =
       (std::getenv("TMPDIR") != nullptr ? std::getenv("TMPDIR") : std::string("/tmp")) + "/bellstair-XXXXXX";
   const int fd = ::mkstemp(path.data());
@@ -413,7 +415,7 @@
 
 struct Exit {
   int status = 0;
-  std::string said;  // to standard error
+  std::string standard_error;
 };
 
 // The program, from its start to its end.
@@ -443,45 +445,45 @@
       for (ssize_t got = 0; (got = ::read(fd, buffer, sizeof buffer)) > 0;) {
         rest.append(buffer, static_cast<std::size_t>(got));
         for (std::size_t end = 0; (end = rest.find('\n')) != std::string::npos; rest.erase(0, end + 1))
-          lines_.add(rest.substr(0, end));
+          log_lines_.add(rest.substr(0, end));
       }
     });
   }
   ~Program() {
     if (pid_ > 0) {
       ::kill(pid_, SIGKILL);
-      wait();
+      wait_for_exit();
     }
   }
-  std::string said(const std::string& what) {
-    return lines_.wait([&](const std::string& line) { return line.find(what) != std::string::npos; });
+  std::string wait_for_log_line(const std::string& what) {
+    return log_lines_.wait_for([&](const std::string& line) { return line.find(what) != std::string::npos; });
   }
-  std::string listens(const std::string& field) {
-    const auto line = said("bellstair: " + field + " on ");
+  std::string listen_address(const std::string& field) {
+    const auto line = wait_for_log_line("bellstair: " + field + " on ");
     return line.substr(line.rfind(' ') + 1);
   }
-  void signal(int number) { ::kill(pid_, number); }
+  void send_signal(int number) { ::kill(pid_, number); }
   // Returns once it stands still; SIGCONT lets it go on.
-  void stop() {
+  void pause() {
     ::kill(pid_, SIGSTOP);
     ::waitpid(pid_, nullptr, WUNTRACED);
   }
-  int wait() {
+  int wait_for_exit() {
     int status = 0;
     ::waitpid(pid_, &status, 0);
     pid_ = -1;
     reader_.join();
     return status;
   }
-  std::string everything_said() { return lines_.describe(); }
-  std::size_t lines() { return count_said(""); }
-  std::size_t count_said(const std::string& what) {
-    return lines_.count([&](const std::string& line) { return line.find(what) != std::string::npos; });
+  std::string log_text() { return log_lines_.describe(); }
+  std::size_t log_line_count() { return count_log_lines(""); }
+  std::size_t count_log_lines(const std::string& what) {
+    return log_lines_.count([&](const std::string& line) { return line.find(what) != std::string::npos; });
   }
 
  private:
   pid_t pid_ = -1;
-  Log<std::string> lines_;
+  Recorder<std::string> log_lines_;
   std::thread reader_;
 };
 
@@ -493,36 +495,37 @@
                   rlim_t files = 0, const std::function<void(json&)>& adjust = {},
                   std::map<std::string, std::string> environment = {}) {
     json all = json::array();
-    for (const auto& [id, at] : engines) all.push_back(server(id, at));
-    changes.push(std::move(all), true);
+    for (const auto& [id, at] : engines) all.push_back(server_entry(id, at));
+    change_log.push(std::move(all), true);
     config = {{"name", "n0"},
               {"listen", "127.0.0.1:0"},
               {"seed", "8c1f30d27a5be964"},
               {"limits", {{"sockets", 256}}},
-              {"changelog", changes.address()},
-              {"known", changes.known()},
+              {"changelog", change_log.address()},
+              {"known", change_log.snapshot()},
               {"settings", settings()}};
     if (adjust) adjust(config);
-    std::vector<std::string> arguments{"serve", "--config", files_.emplace_back(temporary(config.dump()))};
+    std::vector<std::string> arguments{"serve", "--config",
+                                       files_.emplace_back(write_temporary_file(config.dump()))};
     if (!fronts.is_null()) {
       arguments.emplace_back("--fronts");
-      arguments.push_back(files_.emplace_back(temporary(fronts.dump())));
+      arguments.push_back(files_.emplace_back(write_temporary_file(fronts.dump())));
     }
     environment.emplace("TEST_SECRET", "secret");
     program = std::make_unique<Program>(arguments, std::move(environment), files);
-    address = program->listens("listen");
-    program->said("phase: serving");
+    address = program->listen_address("listen");
+    program->wait_for_log_line("phase: serving");
   }
   // Replaces the configuration's file, and says so to the program.
   void reload(const std::string& text) {
     std::ofstream(files_.front()) << text;
-    program->signal(SIGHUP);
+    program->send_signal(SIGHUP);
   }
   [[nodiscard]] const std::string& configuration_file() const { return files_.front(); }
   ~Broker() {
     for (const auto& file : files_) ::unlink(file.c_str());
   }
-  ChangeLog changes;
+  ChangeLog change_log;
   json config;
   std::unique_ptr<Program> program;
   std::string address;
@@ -531,7 +534,7 @@
   std::vector<std::string> files_;
 };
 
-// What a client calls its n-th request, from 0: it draws a new name for each.
+// The ticket of a client's n-th request, counted from 0.
 inline std::string ticket(unsigned n) {
   char out[17];
   std::snprintf(out, sizeof out, "%016llx", 0x9b1f03aa5c7e2d41ULL + n);
@@ -541,30 +544,31 @@
 // A client of the platform's front.
 class Client {
  public:
-  explicit Client(const std::string& address) : socket(Socket::to(address)) {}
-  void ask(int id, const std::string& cls, const std::string& statement, json more = json::object()) {
+  explicit Client(const std::string& address) : socket(Socket::connect_to(address)) {}
+  void send_request(int id, const std::string& cls, const std::string& statement,
+                    json extra_params = json::object()) {
     json params{{"txn", ticket(asked_++)},
                 {"limit", 15000},
                 {"team", "acme"},
                 {"data", platform::to_base64(statement)}};
-    params.update(more);
+    params.update(extra_params);
     socket.send(json{{"jsonrpc", "2.0"}, {"id", id}, {"method", cls}, {"params", params}}.dump() + "\n");
   }
   void cancel(int id) {
     socket.send(json{{"jsonrpc", "2.0"}, {"method", "cancel"}, {"params", {{"id", id}}}}.dump() + "\n");
   }
-  json answer() { return json::parse(socket.line()); }
-  bool green() {
+  json read_response() { return json::parse(socket.read_line()); }
+  bool is_ready() {
     socket.send(R"({"jsonrpc":"2.0","id":999,"method":"health"})"
                 "\n");
-    return answer()["result"]["green"];
+    return read_response()["result"]["green"];
   }
   Socket socket;
 
  private:
   unsigned asked_ = 0;
 };
-inline std::string body(const json& answer) {
+inline std::string result_body(const json& answer) {
   return platform::from_base64(answer.at("result").at("data").get<std::string>()).value();
 }
 
--- a/tests/net/mysql_client.hpp
+++ b/tests/net/mysql_client.hpp
@@ -22,8 +22,8 @@
         sequence_ = static_cast<std::uint8_t>(packet->sequence + 1);
         return packet->payload;
       }
-      if (!socket_.more()) throw std::runtime_error("the connection has ended");
-      reader_.feed(std::exchange(socket_.in, {}));
+      if (!socket_.read_more()) throw std::runtime_error("the connection has ended");
+      reader_.feed(std::exchange(socket_.received, {}));
     }
   }
   void give(const std::string& payload) { socket_.send(my::frame(sequence_++, payload)); }
@@ -42,7 +42,7 @@
  public:
   explicit MysqlClient(const std::string& address, const std::string& user = "gateway",
                        const std::string& password = "secret", const char* plugin = my::kCachingSha2)
-      : socket(Socket::to(address)), wire(socket) {
+      : socket(Socket::connect_to(address)), wire(socket) {
     const auto greeting = my::read_greeting(wire.take());
     const auto answer = plugin == my::kNativePassword ? my::native_answer(password, greeting.nonce)
                                                       : my::sha2_answer(password, greeting.nonce);
--- a/tests/net/mysql_test.cpp
+++ b/tests/net/mysql_test.cpp
@@ -21,8 +21,8 @@
   using Answer = std::function<std::optional<Rows>(const Executed&)>;
   explicit MysqlEngine(Answer answer)
       : answer_(std::move(answer)), server([this](Socket& socket) { serve(socket); }) {}
-  Log<Executed> executed;
-  Log<std::string> prepared, killed;
+  Recorder<Executed> executed;
+  Recorder<std::string> prepared, killed;
   std::function<void()> on_prepare;
   bool twice = false;  // an OK comes with another behind it
 
@@ -109,7 +109,7 @@
 class MysqlBroker : public Broker {
  public:
   MysqlBroker(const std::vector<std::pair<std::string, std::string>>& engines, bool mysql_engines)
-      : Broker(engines, fronts(mysql_engines)), mysql(program->listens("mysql.listen")) {}
+      : Broker(engines, fronts(mysql_engines)), mysql(program->listen_address("mysql.listen")) {}
   std::string mysql;
 };
 
@@ -118,7 +118,7 @@
 }
 
 TEST(Mysql, WhoIsLetInAndWhatIsUnknown) {
-  HttpEngine engine([](const Call&) { return rows("a\tb\tc\n"); });
+  HttpEngine engine([](const HttpRequest&) { return rows_response("a\tb\tc\n"); });
   MysqlBroker broker({{"s-00000001", engine.server.address()}}, false);
   MysqlClient native(broker.mysql, "gateway", "secret", my::kNativePassword), client(broker.mysql);
   EXPECT_EQ(native.login[0], 0);
@@ -127,7 +127,7 @@
        {std::pair{"gateway", "wrong"}, {"nobody", "secret"}, {"gateway", ""}}) {
     MysqlClient denied(broker.mysql, user, password);
     EXPECT_EQ(my::read_error(denied.login).code, 1045);
-    EXPECT_TRUE(denied.socket.ended());
+    EXPECT_TRUE(denied.socket.read_to_end());
   }
   EXPECT_EQ(client.command("\x0e")[0], 0);  // ping
   EXPECT_EQ(my::read_error(client.command("\x02"
@@ -138,19 +138,20 @@
   EXPECT_EQ(client.query("SET NAMES utf8mb4").size(), 0U);
   EXPECT_EQ(client.error.code, 0);
   client.wire.command("\x01");
-  EXPECT_TRUE(client.socket.ended());
+  EXPECT_TRUE(client.socket.read_to_end());
 }
 
 TEST(Mysql, PreparedStatementsReachHttpEnginesWithTheirValues) {
-  HttpEngine engine([](const Call&) { return rows("1\t2\t3\n4\t5\t6\n"); });
+  HttpEngine engine([](const HttpRequest&) { return rows_response("1\t2\t3\n4\t5\t6\n"); });
   MysqlBroker broker({{"s-00000001", engine.server.address()}}, false);
   MysqlClient client(broker.mysql);
   const auto statement = client.prepare("SELECT a FROM sales_17.orders WHERE b = ?");
   const std::vector<std::vector<my::Cell>> expected{{"1", "2", "3"}, {"4", "5", "6"}};
   EXPECT_EQ(client.execute(statement, {"it's"s}), expected);
   EXPECT_EQ(client.query("SELECT a FROM sales_17.orders"), expected);
-  EXPECT_EQ(engine.calls.count(
-                [](const Call& c) { return c.body == "SELECT a FROM sales_17.orders WHERE b = 'it''s'"; }),
+  EXPECT_EQ(engine.requests.count([](const HttpRequest& c) {
+    return c.body == "SELECT a FROM sales_17.orders WHERE b = 'it''s'";
+  }),
             1U);
   EXPECT_EQ(client.command("\x1a"s + std::string("\x01\0\0\0", 4))[0], 0);  // reset
   client.wire.command("\x19"s + std::string("\x01\0\0\0", 4));              // close: nothing answers
@@ -161,10 +162,10 @@
 }
 
 TEST(Mysql, RefusedFailedAndTimedOutDiffer) {
-  HttpEngine engine([](const Call& call) {
+  HttpEngine engine([](const HttpRequest& call) {
     if (call.headers.contains("X-Queue") && call.headers.at("X-Queue") == "lookup")
-      return http(503, {}, "X-Shed: 1\r\n");
-    return http(call.body == "UPDATE sales_17.x SET a = 1" ? 500 : 202);
+      return http_response(503, {}, "X-Shed: 1\r\n");
+    return http_response(call.body == "UPDATE sales_17.x SET a = 1" ? 500 : 202);
   });
   MysqlBroker broker({{"s-00000001", engine.server.address()}}, false);
   MysqlClient client(broker.mysql);
@@ -174,7 +175,7 @@
   client.query("UPDATE sales_17.x SET a = 2", {{"class", "once"s}, {"limit", std::int64_t{900}}});
   EXPECT_EQ(client.error.code, 50003);
   EXPECT_EQ(client.error.state, "HYT00");
-  engine.calls.wait([](const Call& c) { return c.method == "DELETE"; });
+  engine.requests.wait_for([](const HttpRequest& c) { return c.method == "DELETE"; });
   client.query("SELECT 1");
   EXPECT_EQ(client.error.code, 50001);
   EXPECT_EQ(client.error.state, "40001");
@@ -217,9 +218,9 @@
   EXPECT_EQ(client.execute(statement, {"2"s}), rows);
   EXPECT_EQ(one.prepared.count([](const auto&) { return true; }), 1U);  // once for a connection
   one.server.stop();
-  broker.changes.push(
-      {server("s-00000001", one.server.address(), "terminated"), server("s-00000002", two.server.address())});
-  broker.changes.wait_until_told();
+  broker.change_log.push({server_entry("s-00000001", one.server.address(), "terminated"),
+                          server_entry("s-00000002", two.server.address())});
+  broker.change_log.wait_until_processed();
   EXPECT_EQ(client.execute(statement, {"3"s}), rows);
   EXPECT_EQ(two.prepared.count([](const auto&) { return true; }), 1U);
 }
@@ -247,10 +248,10 @@
   MysqlClient client(broker.mysql);
   const auto statement = client.prepare("SELECT a FROM sales_17.x WHERE b = ?");
   client.wire.command(my::write_execute({statement, {"1"s}, {}}, true));
-  one.prepared.wait([](const std::string&) { return true; });
-  broker.changes.push({server("s-00000001", one.server.address(), "terminating"),
-                       server("s-00000002", two.server.address())});
-  broker.changes.wait_until_told();
+  one.prepared.wait_for([](const std::string&) { return true; });
+  broker.change_log.push({server_entry("s-00000001", one.server.address(), "terminating"),
+                          server_entry("s-00000002", two.server.address())});
+  broker.change_log.wait_until_processed();
   go_on.set_value();
   EXPECT_EQ(client.result(client.wire.take(), true).size(), 1U);
   EXPECT_EQ(one.executed.count([](const Executed&) { return true; }), 0U);
@@ -267,25 +268,25 @@
   MysqlClient client(broker.mysql);
   client.query("UPDATE sales_17.x SET a = 1", {{"class", "once"s}, {"limit", std::int64_t{900}}});
   EXPECT_EQ(client.error.code, 50003);
-  engine.killed.wait([](const std::string& text) { return text == "KILL 11"; });
+  engine.killed.wait_for([](const std::string& text) { return text == "KILL 11"; });
   over.set_value();
 }
 
 TEST(Mysql, BadPacketsAreRefusedAndHarmNobodyElse) {
-  HttpEngine engine([](const Call&) { return rows("a\tb\tc\n"); });
+  HttpEngine engine([](const HttpRequest&) { return rows_response("a\tb\tc\n"); });
   MysqlBroker broker({{"s-00000001", engine.server.address()}}, false);
   MysqlClient good(broker.mysql);
   for (const auto& bad : {"\x17\x01"s, ""s, "\x03\xff\xff"s}) {
     MysqlClient client(broker.mysql);
     EXPECT_EQ(my::read_error(client.command(bad)).code, 1835);
-    EXPECT_TRUE(client.socket.ended());
+    EXPECT_TRUE(client.socket.read_to_end());
   }
   MysqlClient large(broker.mysql);
   large.socket.send("\xff\xff\xff\x00"s);
   EXPECT_EQ(my::read_error(large.wire.take()).code, 1835);
-  auto raw = Socket::to(broker.mysql);
+  auto raw = Socket::connect_to(broker.mysql);
   raw.send("GET / HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(raw.ended());
+  EXPECT_TRUE(raw.read_to_end());
   EXPECT_EQ(good.query("SELECT a FROM sales_17.x").size(), 1U);
 }
 
--- a/tests/net/pool_test.cpp
+++ b/tests/net/pool_test.cpp
@@ -32,7 +32,7 @@
     dialled_ = pool_.take_counts().dialled;
   }
   bool until(const std::function<bool()>& reached) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     while (!reached()) {  // once in each turn, as it may take what it finds
       if (std::chrono::steady_clock::now() > end) return false;
       loop_.run(ev::ONCE);
@@ -87,7 +87,7 @@
   auto peer = accept();
   ASSERT_TRUE(until([&] { return told_ == 1; }));
   got_ = nullptr;
-  LateListener late;
+  FullBacklogListener late;
   pool_.place(1, late.address());  // what is in use stays
   ask();
   pool_.tick(1001s);
