--- a/tests/net/changelog_test.cpp
+++ b/tests/net/changelog_test.cpp
@@ -1,5 +1,5 @@
-// The follower of the change log against logs that misbehave. The clock is driven by hand; the loop runs
-// until what a test waits for has happened.
+// The change log client against faulty change logs. Tests advance its clock themselves and run the event loop
+// until an expected condition holds.
 #include "platform/changelog.hpp"
 
 #include <gtest/gtest.h>
@@ -11,238 +11,253 @@
 
 using platform::ChangeLog;
 
-json event(int seq, const std::string& id, bool full = false) {
+json fleet_event(int seq, const std::string& id, bool full = false) {
   return {{"seq", seq}, {"fleet", {{"full", full}, {"servers", {server_entry(id, "127.0.0.1:9")}}}}};
 }
-std::string news(int last, const std::vector<json>& events = {}) {
-  return http_response(200, json{{"seq", last}, {"results", events}}.dump());
+std::string poll_response(int last_seq, const std::vector<json>& events = {}) {
+  return http_response(200, json{{"seq", last_seq}, {"results", events}}.dump());
 }
 
-// A change log: `answer` gives the bytes for call number n (from 1), empty for silence; the connection is
-// closed after answers for which `closes` says so.
-class FakeLog {
+// A scripted change log. The handler returns the bytes to send for request number n (from 1); empty means no
+// response. After the responses for which `closes_after` is true, the connection is closed.
+class FakeChangeLog {
  public:
-  using Answer = std::function<std::string(int n, const std::string& path)>;
-  explicit FakeLog(
-      Answer answer, std::function<bool(int)> closes = [](int) { return false; })
-      : server([this, answer = std::move(answer), closes = std::move(closes)](Socket& socket) {
+  using Handler = std::function<std::string(int n, const std::string& path)>;
+  explicit FakeChangeLog(
+      Handler handler, std::function<bool(int)> closes_after = [](int) { return false; })
+      : server([this, handler = std::move(handler), closes_after = std::move(closes_after)](Socket& socket) {
           connections.add(0);
           while (true) {
             const auto path = read_http_request(socket).path;
-            const int n = ++calls;
-            asked.add(path);
-            socket.send(answer(n, path));
-            if (!closes(n)) continue;
+            const int n = ++requests;
+            paths.add(path);
+            socket.send(handler(n, path));
+            if (!closes_after(n)) continue;
             ::shutdown(socket.fd(), SHUT_WR);
             while (socket.read_more()) {
             }
             return;
           }
         }) {}
-  std::size_t opened() {
+  std::size_t connection_count() {
     return connections.count([](int) { return true; });
   }
-  std::size_t askings() {
-    return asked.count([](const std::string&) { return true; });
+  std::size_t request_count() {
+    return paths.count([](const std::string&) { return true; });
   }
-  std::atomic<int> calls = 0;
-  Recorder<std::string> asked;
+  std::atomic<int> requests = 0;
+  Recorder<std::string> paths;
   Recorder<int> connections;
   Server server;
 };
 
-class Follower {
+// The client with its own event loop and clock, which records the events that it emits.
+class TestFollower {
  public:
-  explicit Follower(const std::string& address, std::uint64_t since = 1)
-      : log(loop, address, names, since, [this](core::Event event) { take(std::move(event)); }) {
+  explicit TestFollower(const std::string& address, std::uint64_t since = 1)
+      : change_log(loop, address, names, since, [this](core::Event event) { on_event(std::move(event)); }) {
     names.zones["dc1"] = 0;
     names.kinds["std-8"] = 0;
-    // Keeps the loop turning while nothing comes; what it waits for is never time.
-    turn.set<Follower, &Follower::on_turn>(this);
-    turn.start(0.001, 0.001);
+    // Ends each loop iteration in which no event occurs.
+    wakeup.set<TestFollower, &TestFollower::ignore_timer>(this);
+    wakeup.start(0.001, 0.001);
   }
-  void on_turn(ev::timer&, int) {}
-  void take(core::Event event) {
+  void ignore_timer(ev::timer&, int) {}
+  void on_event(core::Event event) {
     if (auto* change = std::get_if<core::MembershipChange>(&event)) changes.push_back(std::move(*change));
-    if (std::holds_alternative<core::DiscoveryIdle>(event)) ++quiet;
+    if (std::holds_alternative<core::DiscoveryIdle>(event)) ++idle_reports;
   }
-  void pass(core::Time time) { log.tick(now += time); }
-  // The clock creeps on, so that calls leave, but stops below every limit until the next answer is in: no
-  // call is given up for want of a fast machine, and none is held back for good.
-  bool until(const std::function<bool()>& reached, core::Time step = 0ms) {
-    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
-    auto most = now;
-    for (std::size_t seen = heard() + 1; !reached() && std::chrono::steady_clock::now() < end;) {
-      if (std::exchange(seen, heard()) != heard()) most = now + ChangeLog::kDial - 50ms;
-      pass(now + step <= most ? step : 0ms);
+  void advance(core::Time time) { change_log.tick(now += time); }
+  // Runs the loop until `condition` holds, for at most kWaitTimeout; returns whether it does. The clock
+  // advances by `step` per iteration so that polls are sent, but stops below every time limit until the next
+  // response has been handled: a slow machine causes no time-out, and no poll is delayed for ever.
+  bool run_until(const std::function<bool()>& condition, core::Time step = 0ms) {
+    const auto deadline = std::chrono::steady_clock::now() + kWaitTimeout;
+    auto max_time = now;
+    for (std::size_t seen_events = event_count() + 1;
+         !condition() && std::chrono::steady_clock::now() < deadline;) {
+      if (std::exchange(seen_events, event_count()) != event_count())
+        max_time = now + ChangeLog::kDial - 50ms;
+      advance(now + step <= max_time ? step : 0ms);
       loop.run(ev::ONCE);
     }
-    return reached();
+    return condition();
   }
-  [[nodiscard]] std::size_t heard() const { return changes.size() + static_cast<std::size_t>(quiet); }
-  [[nodiscard]] std::vector<std::uint32_t> engines() const {
-    std::vector<std::uint32_t> out;
-    for (const auto& change : changes) out.push_back(change.members.at(0).entry.engine);
-    return out;
+  [[nodiscard]] std::size_t event_count() const {
+    return changes.size() + static_cast<std::size_t>(idle_reports);
+  }
+  [[nodiscard]] std::vector<std::uint32_t> changed_engines() const {
+    std::vector<std::uint32_t> engines;
+    for (const auto& change : changes) engines.push_back(change.members.at(0).entry.engine);
+    return engines;
   }
 
   ev::dynamic_loop loop;
-  ev::timer turn{loop};
+  ev::timer wakeup{loop};
   config::NameIndex names;
   core::Time now{1000s};
   std::vector<core::MembershipChange> changes;
-  int quiet = 0;
-  ChangeLog log;
+  int idle_reports = 0;
+  ChangeLog change_log;
 };
-constexpr core::Time kCreep = 10ms;
-
-TEST(ChangeLog, AsksAtOnceWhetherThereIsNewsAndThenWaitsForIt) {
-  FakeLog log([](int n, const std::string&) { return n < 3 ? news(1) : std::string(); });
-  Follower f(log.server.address());
-  ASSERT_TRUE(f.until([&] { return log.askings() == 3; }, kCreep));
-  EXPECT_EQ(log.asked.count([](auto& p) { return p == "/changes?since=1&timeout=0"; }), 1U);
-  EXPECT_EQ(log.asked.count([](auto& p) { return p == "/changes?since=1&timeout=1000"; }), 2U);
-  EXPECT_EQ(f.quiet, 2);
-  EXPECT_EQ(log.opened(), 1U);
+constexpr core::Time kClockStep = 10ms;
+
+TEST(ChangeLogFollower, PollsWithoutWaitingFirstAndThenLongPolls) {
+  FakeChangeLog log([](int n, const std::string&) { return n < 3 ? poll_response(1) : std::string(); });
+  TestFollower follower(log.server.address());
+  ASSERT_TRUE(follower.run_until([&] { return log.request_count() == 3; }, kClockStep));
+  EXPECT_EQ(log.paths.count([](auto& p) { return p == "/changes?since=1&timeout=0"; }), 1U);
+  EXPECT_EQ(log.paths.count([](auto& p) { return p == "/changes?since=1&timeout=1000"; }), 2U);
+  EXPECT_EQ(follower.idle_reports, 2);
+  EXPECT_EQ(log.connection_count(), 1U);
 }
 
-TEST(ChangeLog, EachEventIsToldOnceAndInTheOrderOfTheNumbers) {
-  FakeLog log([](int n, const std::string&) {
-    if (n == 1) return news(2, {event(2, "s-00000002")});
-    // Told again, out of order, twice, and beside events of no concern here.
+TEST(ChangeLogFollower, ReportsEachEventOnceInSequenceOrder) {
+  FakeChangeLog log([](int n, const std::string&) {
+    if (n == 1) return poll_response(2, {fleet_event(2, "s-00000002")});
+    // Events that were reported before, out of order, duplicated, and mixed with one of another type.
     if (n == 2)
-      return news(5, {event(4, "s-00000004"),
-                      event(2, "s-00000002"),
-                      event(3, "s-00000003"),
-                      event(4, "s-00000004"),
-                      {{"seq", 5}, {"other", 1}}});
+      return poll_response(5, {fleet_event(4, "s-00000004"),
+                               fleet_event(2, "s-00000002"),
+                               fleet_event(3, "s-00000003"),
+                               fleet_event(4, "s-00000004"),
+                               {{"seq", 5}, {"other", 1}}});
     return std::string();
   });
-  Follower f(log.server.address());
-  ASSERT_TRUE(f.until([&] { return log.askings() == 3; }, kCreep));
-  EXPECT_EQ(f.engines(), (std::vector<std::uint32_t>{2, 3, 4}));
-  EXPECT_TRUE(std::ranges::all_of(f.changes, &core::MembershipChange::live));
-  EXPECT_EQ(log.asked.count([](auto& p) { return p == "/changes?since=5&timeout=0"; }), 1U);
+  TestFollower follower(log.server.address());
+  ASSERT_TRUE(follower.run_until([&] { return log.request_count() == 3; }, kClockStep));
+  EXPECT_EQ(follower.changed_engines(), (std::vector<std::uint32_t>{2, 3, 4}));
+  EXPECT_TRUE(std::ranges::all_of(follower.changes, &core::MembershipChange::live));
+  EXPECT_EQ(log.paths.count([](auto& p) { return p == "/changes?since=5&timeout=0"; }), 1U);
 }
 
-TEST(ChangeLog, AnEventCutOffIsAskedForAgainWhole) {
-  const auto whole = news(2, {event(2, "s-00000002")});
-  // Short of its length, and ended by the connection's close where no length is told.
-  for (const auto& half : {whole.substr(0, whole.size() - 40),
-                           "HTTP/1.1 200 x\r\n\r\n" + whole.substr(whole.find("\r\n\r\n") + 4, 60)}) {
-    FakeLog log([&](int n, const std::string&) { return n == 1   ? half
-                                                        : n == 2 ? whole
-                                                                 : std::string(); },
-                [](int n) { return n == 1; });
-    Follower f(log.server.address());
-    ASSERT_TRUE(f.until([&] { return log.askings() == 3; }, kCreep));
-    EXPECT_EQ(f.engines(), (std::vector<std::uint32_t>{2}));
-    EXPECT_EQ(log.opened(), 2U);
-    EXPECT_EQ(log.asked.count([](auto& p) { return p == "/changes?since=1&timeout=0"; }), 2U);
+TEST(ChangeLogFollower, RequestsATruncatedEventAgain) {
+  const auto complete = poll_response(2, {fleet_event(2, "s-00000002")});
+  // Shorter than its Content-Length, and cut off by the close of the connection where there is none.
+  for (const auto& truncated :
+       {complete.substr(0, complete.size() - 40),
+        "HTTP/1.1 200 x\r\n\r\n" + complete.substr(complete.find("\r\n\r\n") + 4, 60)}) {
+    FakeChangeLog log(
+        [&](int n, const std::string&) { return n == 1   ? truncated
+                                                : n == 2 ? complete
+                                                         : std::string(); },
+        [](int n) { return n == 1; });
+    TestFollower follower(log.server.address());
+    ASSERT_TRUE(follower.run_until([&] { return log.request_count() == 3; }, kClockStep));
+    EXPECT_EQ(follower.changed_engines(), (std::vector<std::uint32_t>{2}));
+    EXPECT_EQ(log.connection_count(), 2U);
+    EXPECT_EQ(log.paths.count([](auto& p) { return p == "/changes?since=1&timeout=0"; }), 2U);
   }
 }
 
-TEST(ChangeLog, ALogThatStopsAndStaysOpenIsLeftBeforeItsNewsCountAsTold) {
-  for (const auto& begun : {std::string(), news(2, {event(2, "s-00000002")}).substr(0, 90)}) {
-    FakeLog log(
-        [&](int n, const std::string&) { return n == 1 ? begun : news(2, {event(2, "s-00000002")}); });
-    Follower f(log.server.address());
-    ASSERT_TRUE(f.until([&] { return log.askings() == 1; }, kCreep));
-    f.pass(ChangeLog::kSilence - ChangeLog::kDial);
-    EXPECT_EQ(f.quiet, 0);
-    f.pass(ChangeLog::kSilence);
-    EXPECT_EQ(f.quiet, 1);  // it cannot be asked
-    f.pass(ChangeLog::kPause);
-    ASSERT_TRUE(f.until([&] { return !f.changes.empty(); }));
-    EXPECT_EQ(log.opened(), 2U);
+TEST(ChangeLogFollower, ReconnectsToAStalledLogBeforeItsEventsCountAsReported) {
+  for (const auto& partial :
+       {std::string(), poll_response(2, {fleet_event(2, "s-00000002")}).substr(0, 90)}) {
+    FakeChangeLog log([&](int n, const std::string&) {
+      return n == 1 ? partial : poll_response(2, {fleet_event(2, "s-00000002")});
+    });
+    TestFollower follower(log.server.address());
+    ASSERT_TRUE(follower.run_until([&] { return log.request_count() == 1; }, kClockStep));
+    follower.advance(ChangeLog::kSilence - ChangeLog::kDial);
+    EXPECT_EQ(follower.idle_reports, 0);
+    follower.advance(ChangeLog::kSilence);
+    EXPECT_EQ(follower.idle_reports, 1);  // the log counts as unreachable
+    follower.advance(ChangeLog::kPause);
+    ASSERT_TRUE(follower.run_until([&] { return !follower.changes.empty(); }));
+    EXPECT_EQ(log.connection_count(), 2U);
   }
   static_assert(ChangeLog::kSilence + ChangeLog::kPause + ChangeLog::kDial <= ChangeLog::kWait + 2s);
 }
 
-TEST(ChangeLog, WhatCannotBeReadIsNotTakenAndTheLogIsAskedAgainAtItsPace) {
-  const auto good = news(2, {event(2, "s-00000002")});
-  for (const std::string& bad :
+TEST(ChangeLogFollower, IgnoresInvalidResponsesAndRetriesAfterAPause) {
+  const auto valid = poll_response(2, {fleet_event(2, "s-00000002")});
+  for (const std::string& invalid :
        {std::string("\x01\x02nonsense\r\n\r\n"), http_response(200, "{\"seq\":"), http_response(200, "[]"),
         http_response(200, R"({"seq":-1,"results":[]})"),
         http_response(200, R"({"seq":2,"results":[{"fleet":{"servers":[]}}]})"),
         http_response(200,
                       R"({"seq":2,"results":[{"seq":2,"fleet":{"servers":[{"id":"x","state":"odd"}]}}]})"),
         http_response(500, "{}"), http_response(200, std::string(100'000, '['))}) {
-    FakeLog log([&](int n, const std::string&) { return n == 1 ? bad : n == 2 ? good : std::string(); });
-    Follower f(log.server.address());
-    ASSERT_TRUE(f.until([&] { return f.quiet == 1; })) << bad.substr(0, 80);
-    EXPECT_TRUE(f.changes.empty());
-    f.pass(ChangeLog::kPause - 1ms);
-    EXPECT_EQ(log.askings(), 1U);
-    ASSERT_TRUE(f.until([&] { return !f.changes.empty(); }, kCreep)) << bad.substr(0, 80);
+    FakeChangeLog log([&](int n, const std::string&) {
+      return n == 1 ? invalid : n == 2 ? valid : std::string();
+    });
+    TestFollower follower(log.server.address());
+    ASSERT_TRUE(follower.run_until([&] { return follower.idle_reports == 1; })) << invalid.substr(0, 80);
+    EXPECT_TRUE(follower.changes.empty());
+    follower.advance(ChangeLog::kPause - 1ms);
+    EXPECT_EQ(log.request_count(), 1U);
+    ASSERT_TRUE(follower.run_until([&] { return !follower.changes.empty(); }, kClockStep))
+        << invalid.substr(0, 80);
   }
 }
 
-TEST(ChangeLog, AnAnswerWithoutEndIsLeftAtItsBound) {
-  std::atomic<bool> left = false;
+TEST(ChangeLogFollower, DisconnectsFromAResponseBeyondTheSizeLimit) {
+  std::atomic<bool> disconnected = false;
   Server server([&](Socket& socket) {
     read_http_request(socket);
-    std::string out = "HTTP/1.1 200 x\r\n\r\n" + std::string(65536, ' ');
+    std::string block = "HTTP/1.1 200 x\r\n\r\n" + std::string(65536, ' ');
     std::size_t sent = 0;
-    while (sent < 64 * ChangeLog::kMostBody && socket.send(out)) sent += out.size();
-    left = sent < 64 * ChangeLog::kMostBody;
+    while (sent < 64 * ChangeLog::kMostBody && socket.send(block)) sent += block.size();
+    disconnected = sent < 64 * ChangeLog::kMostBody;
   });
-  Follower f(server.address());
-  ASSERT_TRUE(f.until([&] { return f.quiet > 0; }));
-  EXPECT_TRUE(f.until([&] { return left.load(); }));
+  TestFollower follower(server.address());
+  ASSERT_TRUE(follower.run_until([&] { return follower.idle_reports > 0; }));
+  EXPECT_TRUE(follower.run_until([&] { return disconnected.load(); }));
 }
 
-TEST(ChangeLog, ALogThatNeverMakesItWaitIsAskedAtAPaceAndKeepsNothing) {
-  FakeLog log([](int, const std::string&) { return news(1); });
-  Follower f(log.server.address());
-  ASSERT_TRUE(f.until([&] { return f.quiet == 1; }, kCreep));
-  for (int i = 0; i < 100; ++i) f.loop.run(ev::NOWAIT);
-  EXPECT_EQ(f.quiet, 1);  // the next call leaves when the clock has moved
-  EXPECT_TRUE(f.until([&] { return f.quiet == 20; }, kCreep));
-  EXPECT_EQ(log.opened(), 1U);
+TEST(ChangeLogFollower, LimitsThePollRateOfALogThatAnswersAtOnce) {
+  FakeChangeLog log([](int, const std::string&) { return poll_response(1); });
+  TestFollower follower(log.server.address());
+  ASSERT_TRUE(follower.run_until([&] { return follower.idle_reports == 1; }, kClockStep));
+  for (int i = 0; i < 100; ++i) follower.loop.run(ev::NOWAIT);
+  EXPECT_EQ(follower.idle_reports, 1);  // the next poll is sent once the clock has advanced
+  EXPECT_TRUE(follower.run_until([&] { return follower.idle_reports == 20; }, kClockStep));
+  EXPECT_EQ(log.connection_count(), 1U);
 }
 
-TEST(ChangeLog, WithNoLogToBeHadItSaysSoAndGoesOnTrying) {
-  FakeLog log([](int, const std::string&) { return news(1); });
+TEST(ChangeLogFollower, ReportsAnUnreachableLogAndKeepsRetrying) {
+  FakeChangeLog log([](int, const std::string&) { return poll_response(1); });
   const auto address = log.server.address();
   log.server.stop();
-  Follower f(address);
-  ASSERT_TRUE(f.until([&] { return f.quiet == 3; }, kCreep));  // so that a start is not held up
-  Follower none("");
-  none.pass(1ms);
-  EXPECT_EQ(none.quiet, 1);
+  TestFollower follower(address);
+  // An unreachable log must be reported, since start-up waits for the first report.
+  ASSERT_TRUE(follower.run_until([&] { return follower.idle_reports == 3; }, kClockStep));
+  TestFollower none("");
+  none.advance(1ms);
+  EXPECT_EQ(none.idle_reports, 1);
 }
 
-TEST(ChangeLog, AfterAMoveTheNumbersCarryOnAtTheNewAddress) {
-  FakeLog old([](int n, const std::string&) {
-    return n == 1 ? news(4, {event(2, "s-00000002")}) : std::string();  // then it tells nothing more
+TEST(ChangeLogFollower, ContinuesTheSequenceAtANewAddress) {
+  FakeChangeLog previous([](int n, const std::string&) {
+    return n == 1 ? poll_response(4, {fleet_event(2, "s-00000002")}) : std::string();  // no further response
+  });
+  FakeChangeLog moved([](int n, const std::string&) {
+    return n == 1 ? poll_response(5, {fleet_event(5, "s-00000005")}) : std::string();
   });
-  FakeLog moved(
-      [](int n, const std::string&) { return n == 1 ? news(5, {event(5, "s-00000005")}) : std::string(); });
-  Follower f(old.server.address());
-  ASSERT_TRUE(f.until([&] { return old.askings() == 2; }, kCreep));
-  f.log.follow(old.server.address());  // no other: the connection stays
-  f.log.follow(moved.server.address());
-  ASSERT_TRUE(f.until([&] { return moved.askings() == 2; }, kCreep));
-  EXPECT_EQ(f.engines(), (std::vector<std::uint32_t>{2, 5}));
-  EXPECT_EQ(moved.asked.count([](auto& p) { return p == "/changes?since=4&timeout=0"; }), 1U);
-  EXPECT_EQ(old.opened(), 1U);
+  TestFollower follower(previous.server.address());
+  ASSERT_TRUE(follower.run_until([&] { return previous.request_count() == 2; }, kClockStep));
+  follower.change_log.follow(previous.server.address());  // the same address: the connection stays
+  follower.change_log.follow(moved.server.address());
+  ASSERT_TRUE(follower.run_until([&] { return moved.request_count() == 2; }, kClockStep));
+  EXPECT_EQ(follower.changed_engines(), (std::vector<std::uint32_t>{2, 5}));
+  EXPECT_EQ(moved.paths.count([](auto& p) { return p == "/changes?since=4&timeout=0"; }), 1U);
+  EXPECT_EQ(previous.connection_count(), 1U);
 }
 
-TEST(ChangeLog, AConnectionForEachCallIsEnough) {
-  FakeLog log(
+TEST(ChangeLogFollower, WorksWithOneConnectionPerRequest) {
+  FakeChangeLog log(
       [](int n, const std::string&) {
         return "HTTP/1.1 200 x\r\nConnection: close\r\n\r\n" +
                json{{"seq", std::min(n, 2)},
-                    {"results", n == 2 ? json::array({event(2, "s-00000002")}) : json::array()}}
+                    {"results", n == 2 ? json::array({fleet_event(2, "s-00000002")}) : json::array()}}
                    .dump();
       },
       [](int) { return true; });
-  Follower f(log.server.address());
-  ASSERT_TRUE(f.until([&] { return log.askings() >= 4; }, kCreep));
-  EXPECT_EQ(f.engines(), (std::vector<std::uint32_t>{2}));
-  // Waiting for news goes on as on a lasting connection.
-  EXPECT_EQ(log.asked.count([](auto& p) { return p.ends_with("timeout=0"); }), 2U);
+  TestFollower follower(log.server.address());
+  ASSERT_TRUE(follower.run_until([&] { return log.request_count() >= 4; }, kClockStep));
+  EXPECT_EQ(follower.changed_engines(), (std::vector<std::uint32_t>{2}));
+  // Long polls continue as on a persistent connection.
+  EXPECT_EQ(log.paths.count([](auto& p) { return p.ends_with("timeout=0"); }), 2U);
 }
 
 }  // namespace
--- a/tests/net/engines_test.cpp
+++ b/tests/net/engines_test.cpp
@@ -1,4 +1,4 @@
-// The driver of HTTP engines by itself: effects in, calls at a stand-in engine and events out.
+// The HTTP engine driver on its own: effects go in; events, and requests at an emulated engine, come out.
 #include "platform/engines.hpp"
 
 #include <gtest/gtest.h>
@@ -10,155 +10,160 @@
 namespace {
 using core::AttemptOutcome;
 
-class Driven {
+// The driver with an event loop and an adjustable clock, connected to one emulated engine (number 7).
+class TestDriver {
  public:
-  explicit Driven(HttpEngine& engine)
+  explicit TestDriver(HttpEngine& engine)
       : engines_(loop_, limits(), {"lookup"}, {"pending", "x1", "x0"},
                  [this](core::Event e) { events.push_back(std::move(e)); }) {
     engines_.run(core::EngineUpdated{7, engine.server.address()});
   }
-  // In each turn the driver's clock gains `step`.
+  // Runs the loop until the driver has emitted a T and returns the first one. Each iteration advances the
+  // driver's clock by `step`. Throws std::runtime_error on time-out.
   template <class T>
-  T wait(core::Time step = 0ms) {
-    const auto until = std::chrono::steady_clock::now() + kWaitTimeout;
-    while (std::chrono::steady_clock::now() < until) {
+  T wait_for_event(core::Time step = 0ms) {
+    const auto deadline = std::chrono::steady_clock::now() + kWaitTimeout;
+    while (std::chrono::steady_clock::now() < deadline) {
       for (const auto& event : events) {
         if (const auto* found = std::get_if<T>(&event)) return *found;
       }
-      (still ? *still : ahead) += step;
-      turn();
+      (frozen_time ? *frozen_time : clock_offset) += step;
+      run_once();
     }
-    throw std::runtime_error("what was waited for did not happen");
+    throw std::runtime_error("timed out waiting for an event");
   }
   template <class T>
-  [[nodiscard]] std::size_t count() const {
+  [[nodiscard]] std::size_t count_events() const {
     return static_cast<std::size_t>(std::ranges::count_if(
         events, [](const core::Event& event) { return std::holds_alternative<T>(event); }));
   }
-  // Turns of the loop until the engine has got such a call.
-  void until(HttpEngine& engine, const std::function<bool(const HttpRequest&)>& fits) {
-    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
-    while (engine.requests.count(fits) == 0) {
-      if (std::chrono::steady_clock::now() > end) throw std::runtime_error("no such call");
-      turn();
+  // Runs the loop until the engine has received a request that matches. Throws std::runtime_error on
+  // time-out.
+  void run_until_requested(HttpEngine& engine, const std::function<bool(const HttpRequest&)>& matches) {
+    const auto deadline = std::chrono::steady_clock::now() + kWaitTimeout;
+    while (engine.requests.count(matches) == 0) {
+      if (std::chrono::steady_clock::now() > deadline)
+        throw std::runtime_error("timed out waiting for a request");
+      run_once();
     }
   }
-  void start() {
-    engines_.run(core::StartAttempt{id, 7});
-    wait<core::AttemptReady>();
-    core::Transmit what;
-    what.id = id;
-    what.timeout = 5s;
-    what.ticket = "9b1f03aa5c7e2d41";
-    what.body = "SELECT 1";
-    engines_.run(what);
+  // Starts an attempt and transmits its statement once a connection is ready.
+  void start_attempt() {
+    engines_.run(core::StartAttempt{attempt_id, 7});
+    wait_for_event<core::AttemptReady>();
+    core::Transmit transmit;
+    transmit.id = attempt_id;
+    transmit.timeout = 5s;
+    transmit.ticket = "9b1f03aa5c7e2d41";
+    transmit.body = "SELECT 1";
+    engines_.run(transmit);
   }
   template <class Effect>
   void run(Effect effect) {
     engines_.run(effect);
   }
-  void turn() {
-    engines_.tick(still ? *still : clock());
+  void run_once() {
+    engines_.tick(frozen_time ? *frozen_time : driver_now());
     engines_.settle();
-    ev::timer wake(loop_);  // so that a turn without news ends too
-    wake.set<&Driven::nothing>();
-    wake.start(0.005, 0);
+    ev::timer wakeup(loop_);  // ends an iteration in which no event occurs
+    wakeup.set<&TestDriver::ignore_timer>();
+    wakeup.start(0.005, 0);
     loop_.run(ev::ONCE);
   }
-  [[nodiscard]] core::Time clock() const { return core::monotonic_now() + ahead; }
-  const core::AttemptId id{1, 0};
+  [[nodiscard]] core::Time driver_now() const { return core::monotonic_now() + clock_offset; }
+  const core::AttemptId attempt_id{1, 0};
   std::vector<core::Event> events;
-  std::optional<core::Time> still;  // the driver's clock stands here
-  core::Time ahead{};               // of the clock, for the driver
+  std::optional<core::Time> frozen_time;  // if set, the driver's clock stands still at it
+  core::Time clock_offset{};              // added to the monotonic clock otherwise
 
  private:
   static net::Pool::Limits limits() {
-    net::Pool::Limits out;
-    out.most = 8;
-    out.dial_timeout = 1s;
-    out.idle_life = 10s;
-    out.settle = 20ms;
-    return out;
+    net::Pool::Limits limits;
+    limits.most = 8;
+    limits.dial_timeout = 1s;
+    limits.idle_life = 10s;
+    limits.settle = 20ms;
+    return limits;
   }
-  static void nothing(ev::timer&, int) {}
+  static void ignore_timer(ev::timer&, int) {}
   ev::dynamic_loop loop_;
   platform::Engines engines_;
 };
 
-bool put(const HttpRequest& call) { return call.method == "PUT"; }
-bool gone(const HttpRequest& call) { return call.method == "DELETE"; }
-bool poll(const HttpRequest& call) { return call.method == "GET"; }
+bool is_put(const HttpRequest& request) { return request.method == "PUT"; }
+bool is_delete(const HttpRequest& request) { return request.method == "DELETE"; }
+bool is_poll(const HttpRequest& request) { return request.method == "GET"; }
 
-TEST(Engines, APriorityIsPutBesideAQueryThatRuns) {
+TEST(HttpEngineDriver, SendsAPriorityForARunningQuery) {
   std::atomic<bool> done = false;
-  HttpEngine engine([&](const HttpRequest& call) {
-    return put(call) ? http_response(204) : done ? rows_response("x\ty\tz\n") : http_response(202);
+  HttpEngine engine([&](const HttpRequest& request) {
+    return is_put(request) ? http_response(204) : done ? rows_response("x\ty\tz\n") : http_response(202);
   });
-  Driven d(engine);
-  d.start();
-  d.until(engine, poll);
-  d.run(core::SetPriority{d.id, 3});
-  d.until(engine, put);
-  const auto call = engine.requests.wait_for(put);
-  EXPECT_EQ(call.path, "/v1/store/9b1f03aa5c7e2d41");
-  EXPECT_EQ(call.body, "3");
+  TestDriver driver(engine);
+  driver.start_attempt();
+  driver.run_until_requested(engine, is_poll);
+  driver.run(core::SetPriority{driver.attempt_id, 3});
+  driver.run_until_requested(engine, is_put);
+  const auto request = engine.requests.wait_for(is_put);
+  EXPECT_EQ(request.path, "/v1/store/9b1f03aa5c7e2d41");
+  EXPECT_EQ(request.body, "3");
   done = true;
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::served);
 }
 
-// A DELETE that overtook its statement would leave it running, unasked.
-TEST(Engines, AQueryIsDeletedOnlyOnceItsStatementHasComeWhole) {
-  std::promise<void> answer;
-  HttpEngine engine([&, wait = answer.get_future().share()](const HttpRequest& call) {
-    if (call.method == "POST") wait.wait();
-    return http_response(gone(call) ? 204 : 202);
+// A DELETE that overtakes its statement would leave the query running with nobody polling it.
+TEST(HttpEngineDriver, DeletesAQueryOnlyAfterItsStatementIsAnswered) {
+  std::promise<void> release;
+  HttpEngine engine([&, released = release.get_future().share()](const HttpRequest& request) {
+    if (request.method == "POST") released.wait();
+    return http_response(is_delete(request) ? 204 : 202);
   });
-  Driven d(engine);
-  d.start();
-  d.until(engine, [](const HttpRequest& c) { return c.method == "POST"; });
-  d.run(core::CancelAttempt{d.id});
-  d.run(core::ProbeEngine{7});  // goes out on another connection, as a DELETE would
-  d.wait<core::ProbeEnded>();
-  EXPECT_EQ(engine.requests.count(gone), 0U);
-  answer.set_value();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
-  EXPECT_EQ(engine.requests.count(gone), 1U);
+  TestDriver driver(engine);
+  driver.start_attempt();
+  driver.run_until_requested(engine, [](const HttpRequest& request) { return request.method == "POST"; });
+  driver.run(core::CancelAttempt{driver.attempt_id});
+  driver.run(core::ProbeEngine{7});  // uses another connection, as a DELETE would
+  driver.wait_for_event<core::ProbeEnded>();
+  EXPECT_EQ(engine.requests.count(is_delete), 0U);
+  release.set_value();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
+  EXPECT_EQ(engine.requests.count(is_delete), 1U);
 }
 
-TEST(Engines, NewsAreAskedForAgainWhenAConnectionBreaksAndTheStatementIsNotSentTwice) {
+TEST(HttpEngineDriver, RepeatsAPollAfterAConnectionLossWithoutResendingTheStatement) {
   std::atomic<int> polls = 0;
-  HttpEngine engine([&](const HttpRequest& call) -> std::optional<std::string> {
-    if (call.method == "POST") return http_response(202);
+  HttpEngine engine([&](const HttpRequest& request) -> std::optional<std::string> {
+    if (request.method == "POST") return http_response(202);
     if (polls++ == 0) return std::nullopt;
     return rows_response("x\ty\tz\n");
   });
-  Driven d(engine);
-  d.start();
-  const auto ended = d.wait<core::AttemptEnded>();
+  TestDriver driver(engine);
+  driver.start_attempt();
+  const auto ended = driver.wait_for_event<core::AttemptEnded>();
   EXPECT_EQ(ended.outcome, AttemptOutcome::served);
   EXPECT_EQ(ended.body, "x\ty\tz\n");
   EXPECT_EQ(ended.work, core::Time(5ms));
   EXPECT_EQ(engine.post_count(), 1U);
 }
 
-// A connection can be lost without a word, as when a machine is cut off for a while.
-TEST(Engines, AStatementWithoutAWordIsAskedForOnAnotherConnectionAndNotSentTwice) {
-  std::promise<void> over;
-  HttpEngine engine([&, wait = over.get_future().share()](const HttpRequest& call) {
-    if (call.method == "POST") wait.wait();
+// A connection can be lost silently, for example when a machine is cut off from the network for a while.
+TEST(HttpEngineDriver, PollsForAnUnansweredStatementOnAnotherConnectionWithoutResendingIt) {
+  std::promise<void> release;
+  HttpEngine engine([&, released = release.get_future().share()](const HttpRequest& request) {
+    if (request.method == "POST") released.wait();
     return rows_response("x\ty\tz\n");
   });
-  Driven d(engine);
-  d.start();
-  d.until(engine, [](const HttpRequest& c) { return c.method == "POST"; });
-  d.ahead = 2s;
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
+  TestDriver driver(engine);
+  driver.start_attempt();
+  driver.run_until_requested(engine, [](const HttpRequest& request) { return request.method == "POST"; });
+  driver.clock_offset = 2s;
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::served);
   EXPECT_EQ(engine.post_count(), 1U);
-  over.set_value();
+  release.set_value();
 }
 
-TEST(Engines, OnlyTheMarkProvesThatNothingRan) {
-  const std::pair<std::string, AttemptOutcome> kAnswers[] = {
+TEST(HttpEngineDriver, OnlyAnXShedHeaderProvesThatNothingRan) {
+  const std::pair<std::string, AttemptOutcome> kCases[] = {
       {http_response(503, {}, "X-Shed: 1\r\n"), AttemptOutcome::rejected},
       {http_response(503), AttemptOutcome::error},
       {http_response(504, {}, "X-Shed: 1\r\n"), AttemptOutcome::expired},
@@ -171,72 +176,79 @@
       {"HTTP/1.1 200 OK\r\nResult-Pages: 1\r\nContent-Length: 3000000000\r\n\r\nx",
        AttemptOutcome::connection_reset},
       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", AttemptOutcome::connection_reset}};
-  for (const auto& [answer, expected] : kAnswers) {
-    const bool cut =
+  for (const auto& [response, expected] : kCases) {
+    const bool closes_connection =
         expected == AttemptOutcome::connection_reset || expected == AttemptOutcome::query_dropped;
-    std::atomic<bool> told = false;
-    Server server([&, bytes = answer](Socket& socket) {
+    std::atomic<bool> unused_flag = false;
+    Server server([&, bytes = response](Socket& socket) {
       read_http_request(socket);
       socket.send(bytes);
-      if (!cut) socket.read_to_end();
+      if (!closes_connection) socket.read_to_end();
     });
     HttpEngine unused([](const HttpRequest&) { return http_response(500); });
-    Driven d(unused);
-    d.run(core::EngineUpdated{7, server.address()});
-    d.still = d.clock();  // a slow machine is no silence; time passes only where the engine has to forget it
-    d.start();
-    EXPECT_EQ(d.wait<core::AttemptEnded>(expected == AttemptOutcome::connection_reset ? 50ms : 0ms).outcome,
-              expected)
-        << answer;
+    TestDriver driver(unused);
+    driver.run(core::EngineUpdated{7, server.address()});
+    // No timeout may fire because the machine is slow: time advances only where the attempt can end once the
+    // engine must have dropped the query.
+    driver.frozen_time = driver.driver_now();
+    driver.start_attempt();
+    EXPECT_EQ(
+        driver.wait_for_event<core::AttemptEnded>(expected == AttemptOutcome::connection_reset ? 50ms : 0ms)
+            .outcome,
+        expected)
+        << response;
   }
 }
 
-// A spoilt answer's query has run: it is asked for again, on another connection, and not sent again.
-TEST(Engines, ASpoiltAnswerIsAskedForAgainAndAGoodOneWithMoreBehindItIsUsed) {
-  const std::string kGood = rows_response("x\ty\tz\n");
-  const std::pair<std::string, std::size_t> kAnswers[] = {
+// The query of a corrupt response has run: its result is polled on another connection and the statement is
+// not sent again.
+TEST(HttpEngineDriver, PollsAgainAfterACorruptResponseAndAcceptsOneWithTrailingBytes) {
+  const std::string kValid = rows_response("x\ty\tz\n");
+  const std::pair<std::string, std::size_t> kCases[] = {
       {"noise without end", 1},
-      {kGood.substr(0, kGood.size() - 3), 1},
+      {kValid.substr(0, kValid.size() - 3), 1},
       {"HTTP/1.1 200 x\r\nResult-Pages: 1\r\nContent-Length: 3000000000\r\n\r\nx", 1},
-      {"HTTP/1.1 103 x\r\n\r\n" + kGood, 0},
-      {kGood + kGood, 0},
-      {kGood + "noise", 0}};
-  for (const auto& [answer, asked] : kAnswers) {
-    std::atomic<bool> spoilt = false;
-    const auto statement = [](const HttpRequest& call) { return call.method == "POST"; };
-    HttpEngine engine([&, bytes = answer](const HttpRequest& call) {
-      return statement(call) && !spoilt.exchange(true) ? bytes : kGood;
+      {"HTTP/1.1 103 x\r\n\r\n" + kValid, 0},
+      {kValid + kValid, 0},
+      {kValid + "noise", 0}};
+  for (const auto& [response, expected_polls] : kCases) {
+    std::atomic<bool> sent = false;
+    const auto is_statement = [](const HttpRequest& request) { return request.method == "POST"; };
+    HttpEngine engine([&, bytes = response](const HttpRequest& request) {
+      return is_statement(request) && !sent.exchange(true) ? bytes : kValid;
     });
-    Driven d(engine);
-    d.still = d.clock();  // nothing else is silent, however slow the machine
-    d.start();
-    d.until(engine, statement);
-    if (answer.size() < kGood.size() && kGood.starts_with(answer)) *d.still += 1s;  // it falls silent
-    const auto ended = d.wait<core::AttemptEnded>();
-    EXPECT_EQ(ended.outcome, AttemptOutcome::served) << answer;
+    TestDriver driver(engine);
+    driver.frozen_time = driver.driver_now();  // so that no other timeout fires on a slow machine
+    driver.start_attempt();
+    driver.run_until_requested(engine, is_statement);
+    if (response.size() < kValid.size() && kValid.starts_with(response))
+      *driver.frozen_time += 1s;  // the rest never comes
+    const auto ended = driver.wait_for_event<core::AttemptEnded>();
+    EXPECT_EQ(ended.outcome, AttemptOutcome::served) << response;
     EXPECT_EQ(ended.body, "x\ty\tz\n");
     EXPECT_EQ(engine.post_count(), 1U);
-    EXPECT_EQ(engine.requests.count(poll), asked) << answer;
-    // The connection may hold what is no answer to the next call.
-    d.events.clear();
-    d.start();
-    EXPECT_EQ(d.wait<core::AttemptEnded>().body, "x\ty\tz\n");
+    EXPECT_EQ(engine.requests.count(is_poll), expected_polls) << response;
+    // Bytes left on the connection must not be taken for the response to the next request.
+    driver.events.clear();
+    driver.start_attempt();
+    EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().body, "x\ty\tz\n");
   }
 }
 
-TEST(Engines, AnEngineThatDoesNotKnowAQueryWhoseStatementWasCutOffProvesNothing) {
-  HttpEngine engine([](const HttpRequest& call) -> std::optional<std::string> {
-    if (call.method == "POST") return std::nullopt;
+TEST(HttpEngineDriver, UnknownQueryAfterAnInterruptedStatementIsReportedAsDropped) {
+  HttpEngine engine([](const HttpRequest& request) -> std::optional<std::string> {
+    if (request.method == "POST") return std::nullopt;
     return http_response(500);
   });
-  Driven d(engine);
-  d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::query_dropped);
+  TestDriver driver(engine);
+  driver.start_attempt();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::query_dropped);
 }
 
-// Idle connections are let go before the engine closes them, so that no statement crosses the close.
-TEST(Engines, AnIdleConnectionIsLetGoAndTheNextStatementGoesOnANewOne) {
-  Recorder<int> ended;
+// Closing idle connections before the engine does keeps a statement from being sent while the engine closes
+// the connection.
+TEST(HttpEngineDriver, ClosesIdleConnectionsAndSendsTheNextStatementOnANewOne) {
+  Recorder<int> closed;
   Server server([&](Socket& socket) {
     try {
       while (true) {
@@ -244,246 +256,248 @@
         socket.send(rows_response("x\ty\tz\n"));
       }
     } catch (const std::exception&) {
-      ended.add(1);
+      closed.add(1);
     }
   });
   HttpEngine unused([](const HttpRequest&) { return http_response(500); });
-  Driven d(unused);
-  d.run(core::EngineUpdated{7, server.address()});
-  d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
-  d.ahead = 11s;
-  d.turn();
-  ended.wait_for([](int) { return true; });
-  d.events.clear();
-  d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
+  TestDriver driver(unused);
+  driver.run(core::EngineUpdated{7, server.address()});
+  driver.start_attempt();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::served);
+  driver.clock_offset = 11s;
+  driver.run_once();
+  closed.wait_for([](int) { return true; });
+  driver.events.clear();
+  driver.start_attempt();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::served);
 }
 
-TEST(Engines, AProbeTellsTheReportAndARefusedConnectionThatNothingRan) {
+TEST(HttpEngineDriver, ProbeReturnsTheLoadReportAndARefusedConnectionIsAConnectFailure) {
   HttpEngine engine([](const HttpRequest&) { return http_response(500); });
-  Driven d(engine);
-  d.run(core::ProbeEngine{7});
-  EXPECT_EQ(d.wait<core::ProbeEnded>().load, (std::vector<double>{0, 0.1, 0.1}));
+  TestDriver driver(engine);
+  driver.run(core::ProbeEngine{7});
+  EXPECT_EQ(driver.wait_for_event<core::ProbeEnded>().load, (std::vector<double>{0, 0.1, 0.1}));
   engine.server.stop();
-  d.run(core::StartAttempt{d.id, 7});
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::connect_failed);
+  driver.run(core::StartAttempt{driver.attempt_id, 7});
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::connect_failed);
 }
 
-// Answers that never come cost what is waited for them: no more than the engine's own hold, and a margin.
-TEST(Engines, NewsAndPagesThatDoNotComeAreAskedForAgainSoonAfterTheyWereDue) {
-  for (const bool paging : {false, true}) {
-    std::promise<void> over;
-    std::atomic<int> asked = 0;
-    const auto due = [paging](const HttpRequest& c) {
-      return poll(c) && c.path.ends_with(paging ? "/1" : "/0");
+// A lost response must delay its query by no more than the engine's long-poll time and a margin.
+TEST(HttpEngineDriver, RepeatsOverduePollsAndPageRequests) {
+  for (const bool page_is_overdue : {false, true}) {
+    std::promise<void> release;
+    std::atomic<int> received = 0;
+    const auto is_overdue_request = [page_is_overdue](const HttpRequest& request) {
+      return is_poll(request) && request.path.ends_with(page_is_overdue ? "/1" : "/0");
     };
-    HttpEngine engine([&, wait = over.get_future().share()](const HttpRequest& call) {
-      if (due(call) && ++asked == 1) wait.wait();
-      if (call.path.ends_with("/1")) return http_response(200, "x\ty\tz\n", "Result-Page: 1\r\n");
-      return paging       ? rows_response("x\ty\tz\n", 2)
-             : poll(call) ? rows_response("x\ty\tz\n")
-                          : http_response(202);
+    HttpEngine engine([&, released = release.get_future().share()](const HttpRequest& request) {
+      if (is_overdue_request(request) && ++received == 1) released.wait();
+      if (request.path.ends_with("/1")) return http_response(200, "x\ty\tz\n", "Result-Page: 1\r\n");
+      return page_is_overdue    ? rows_response("x\ty\tz\n", 2)
+             : is_poll(request) ? rows_response("x\ty\tz\n")
+                                : http_response(202);
     });
-    const std::shared_ptr<void> freed(nullptr, [&](void*) { over.set_value(); });  // should a wait fail, too
-    Driven d(engine);
-    d.start();
-    d.until(engine, due);
-    d.still = d.clock() + 450ms;
-    EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
-    EXPECT_EQ(engine.requests.count(due), 2U);
+    const std::shared_ptr<void> release_on_exit(
+        nullptr, [&](void*) { release.set_value(); });  // also if a wait throws
+    TestDriver driver(engine);
+    driver.start_attempt();
+    driver.run_until_requested(engine, is_overdue_request);
+    driver.frozen_time = driver.driver_now() + 450ms;
+    EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::served);
+    EXPECT_EQ(engine.requests.count(is_overdue_request), 2U);
   }
 }
 
-// A query outlives its connections: until its engine has been told, a second copy elsewhere would run beside
-// it.
-TEST(Engines, AQueryWhoseNewsCannotBeHadIsDeletedBeforeItEnds) {
-  HttpEngine engine([](const HttpRequest& call) -> std::optional<std::string> {
-    if (poll(call)) return std::nullopt;
-    return http_response(gone(call) ? 204 : 202);
+// A query outlives its connections: if its attempt ended before the engine was told to drop the query, a
+// retry on another engine could run at the same time.
+TEST(HttpEngineDriver, DeletesAQueryThatCannotBePolledBeforeEndingItsAttempt) {
+  HttpEngine engine([](const HttpRequest& request) -> std::optional<std::string> {
+    if (is_poll(request)) return std::nullopt;
+    return http_response(is_delete(request) ? 204 : 202);
   });
-  Driven d(engine);
-  d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::query_dropped);
-  EXPECT_EQ(engine.requests.count(gone), 1U);
+  TestDriver driver(engine);
+  driver.start_attempt();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::query_dropped);
+  EXPECT_EQ(engine.requests.count(is_delete), 1U);
 }
 
-TEST(Engines, ADeleteThatBreaksOffIsMadeAgain) {
+TEST(HttpEngineDriver, RepeatsADeleteAfterAConnectionLoss) {
   std::atomic<int> deletes = 0;
-  HttpEngine engine([&](const HttpRequest& call) -> std::optional<std::string> {
-    if (gone(call) && ++deletes < 3) return std::nullopt;
-    return http_response(gone(call) ? 204 : 202);
+  HttpEngine engine([&](const HttpRequest& request) -> std::optional<std::string> {
+    if (is_delete(request) && ++deletes < 3) return std::nullopt;
+    return http_response(is_delete(request) ? 204 : 202);
   });
-  Driven d(engine);
-  d.start();
-  d.until(engine, poll);
-  d.run(core::CancelAttempt{d.id});
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
-  EXPECT_EQ(engine.requests.count(gone), 3U);
+  TestDriver driver(engine);
+  driver.start_attempt();
+  driver.run_until_requested(engine, is_poll);
+  driver.run(core::CancelAttempt{driver.attempt_id});
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
+  EXPECT_EQ(engine.requests.count(is_delete), 3U);
 }
 
-TEST(Engines, AnEngineThatBreaksOffEveryCallHoldsNoAttemptForEver) {
-  std::atomic<bool> broken = false;
+TEST(HttpEngineDriver, EndsTheAttemptIfEveryRequestIsReset) {
+  std::atomic<bool> resets = false;
   HttpEngine engine(
-      [&](const HttpRequest&) { return broken ? std::nullopt : std::optional(http_response(202)); });
-  Driven d(engine);
-  d.start();
-  d.until(engine, poll);
-  broken = true;
-  EXPECT_EQ(d.wait<core::AttemptEnded>(50ms).outcome, AttemptOutcome::connection_reset);
-  EXPECT_GT(engine.requests.count(gone), 1U);
+      [&](const HttpRequest&) { return resets ? std::nullopt : std::optional(http_response(202)); });
+  TestDriver driver(engine);
+  driver.start_attempt();
+  driver.run_until_requested(engine, is_poll);
+  resets = true;
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>(50ms).outcome, AttemptOutcome::connection_reset);
+  EXPECT_GT(engine.requests.count(is_delete), 1U);
 }
 
-// Whether a DELETE has come can't be told from silence: the query may go on at an engine that is cut off.
-TEST(Engines, ADeleteWithoutAWordIsMadeAgainAndTheAttemptIsOutUntilThen) {
-  std::promise<void> over;
+// Without a response it is unknown whether the DELETE arrived: an engine that is cut off may still run the
+// query.
+TEST(HttpEngineDriver, RepeatsAnUnansweredDeleteAndKeepsTheAttemptInFlight) {
+  std::promise<void> release;
   std::atomic<int> deletes = 0;
-  HttpEngine engine([&, wait = over.get_future().share()](const HttpRequest& call) {
-    if (gone(call) && ++deletes == 1) wait.wait();
-    return http_response(gone(call) ? 204 : 202);
+  HttpEngine engine([&, released = release.get_future().share()](const HttpRequest& request) {
+    if (is_delete(request) && ++deletes == 1) released.wait();
+    return http_response(is_delete(request) ? 204 : 202);
   });
-  const std::shared_ptr<void> freed(nullptr, [&](void*) { over.set_value(); });
-  Driven d(engine);
-  d.start();
-  d.until(engine, poll);
-  d.run(core::CancelAttempt{d.id});
-  d.until(engine, gone);
+  const std::shared_ptr<void> release_on_exit(nullptr, [&](void*) { release.set_value(); });
+  TestDriver driver(engine);
+  driver.start_attempt();
+  driver.run_until_requested(engine, is_poll);
+  driver.run(core::CancelAttempt{driver.attempt_id});
+  driver.run_until_requested(engine, is_delete);
   while (deletes < 2) {
-    EXPECT_EQ(d.count<core::AttemptEnded>(), 0U);
-    d.ahead += 100ms;
-    d.turn();
+    EXPECT_EQ(driver.count_events<core::AttemptEnded>(), 0U);
+    driver.clock_offset += 100ms;
+    driver.run_once();
   }
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
 }
 
-TEST(Engines, AQueryWhoseEngineIsOutOfReachIsOutUntilTheEngineHasEndedItUnasked) {
+TEST(HttpEngineDriver, QueryOfAnUnreachableEngineStaysInFlightUntilTheEngineDropsIt) {
   HttpEngine engine([](const HttpRequest&) { return http_response(202); });
-  Driven d(engine);
-  d.start();
-  d.until(engine, poll);
-  d.still = d.clock();
+  TestDriver driver(engine);
+  driver.start_attempt();
+  driver.run_until_requested(engine, is_poll);
+  driver.frozen_time = driver.driver_now();
   engine.server.stop();
-  d.turn();  // hears of it
-  // Those who wait for a connection are told in their turn: this one after the query that runs.
-  const core::AttemptId next{2, 0};
-  d.run(core::StartAttempt{next, 7});
-  while (d.count<core::AttemptEnded>() == 0) d.turn();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().id, next);
-  *d.still += 2s + 300ms;
-  d.turn();
-  EXPECT_EQ(d.count<core::AttemptEnded>(), 1U);
-  *d.still += 200ms;
-  while (d.count<core::AttemptEnded>() < 2) d.turn();
-  EXPECT_EQ(std::get<core::AttemptEnded>(d.events.back()).outcome, AttemptOutcome::connection_reset);
+  driver.run_once();  // notices the closed connections
+  // Waiters for a connection are notified in order, so this one after the running query.
+  const core::AttemptId waiter{2, 0};
+  driver.run(core::StartAttempt{waiter, 7});
+  while (driver.count_events<core::AttemptEnded>() == 0) driver.run_once();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().id, waiter);
+  *driver.frozen_time += 2s + 300ms;
+  driver.run_once();
+  EXPECT_EQ(driver.count_events<core::AttemptEnded>(), 1U);
+  *driver.frozen_time += 200ms;
+  while (driver.count_events<core::AttemptEnded>() < 2) driver.run_once();
+  EXPECT_EQ(std::get<core::AttemptEnded>(driver.events.back()).outcome, AttemptOutcome::connection_reset);
 }
 
-// The last call for its news is answered well while the engine is being told: its connection is free then,
-// and may go at any time.
-TEST(Engines, AConnectionThatEndsWhileItsQueryIsDeletedIsNotTouchedAgain) {
-  Recorder<std::string> calls;
-  std::promise<void> abandoned, closed;
-  Server server(
-      [&, answer = abandoned.get_future().share(), go = closed.get_future().share()](Socket& socket) {
-        while (true) {
-          const auto call = read_http_request(socket);
-          calls.add(call.method);
-          if (call.method == "DELETE") go.wait();
-          if (call.method == "GET") answer.wait();
-          socket.send(http_response(call.method == "DELETE" ? 204 : 202));
-          if (call.method != "GET") continue;
-          ::shutdown(socket.fd(), SHUT_WR);
-          socket.read_to_end();  // the driver has closed it too
-          return closed.set_value();
-        }
-      });
+// The last poll is answered while the DELETE is in flight. Its connection is idle from then on and may be
+// freed at any time, so the driver must not use it again.
+TEST(HttpEngineDriver, DoesNotUseAConnectionThatClosesDuringADelete) {
+  Recorder<std::string> methods;
+  std::promise<void> poll_released, closed;
+  Server server([&, poll_may_end = poll_released.get_future().share(),
+                 connection_closed = closed.get_future().share()](Socket& socket) {
+    while (true) {
+      const auto request = read_http_request(socket);
+      methods.add(request.method);
+      if (request.method == "DELETE") connection_closed.wait();
+      if (request.method == "GET") poll_may_end.wait();
+      socket.send(http_response(request.method == "DELETE" ? 204 : 202));
+      if (request.method != "GET") continue;
+      ::shutdown(socket.fd(), SHUT_WR);
+      socket.read_to_end();  // until the driver has closed its side too
+      return closed.set_value();
+    }
+  });
   HttpEngine unused([](const HttpRequest&) { return http_response(500); });
-  Driven d(unused);
-  d.run(core::EngineUpdated{7, server.address()});
-  d.start();
-  const auto come = [&](const char* method) {
-    return calls.count([method](const std::string& call) { return call == method; }) > 0;
+  TestDriver driver(unused);
+  driver.run(core::EngineUpdated{7, server.address()});
+  driver.start_attempt();
+  const auto has_received = [&](const char* method) {
+    return methods.count([method](const std::string& received) { return received == method; }) > 0;
   };
-  while (!come("GET")) d.turn();
-  d.run(core::CancelAttempt{d.id});
-  while (!come("DELETE")) d.turn();
-  abandoned.set_value();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
+  while (!has_received("GET")) driver.run_once();
+  driver.run(core::CancelAttempt{driver.attempt_id});
+  while (!has_received("DELETE")) driver.run_once();
+  poll_released.set_value();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
 }
 
-// Answers name no query: what comes late on a connection would be taken for the answer to the next call
-// there.
-TEST(Engines, ASecondAnswerThatComesLateIsNotTakenForTheNextQuerys) {
+// Responses carry no ticket, so one that arrives late on a connection would be taken for the response to the
+// next request there.
+TEST(HttpEngineDriver, LateDuplicateResponseIsNotTakenForTheNextQuery) {
   std::atomic<int> queries = 0;
   Server server([&](Socket& socket) {
-    for (int here = 0;; ++here) {
+    for (int served = 0;; ++served) {
       read_http_request(socket);
-      // On a connection that has given an answer, that one comes once more.
-      socket.send(rows_response(here == 0 && ++queries == 2 ? "second\ty\tz\n" : "first\ty\tz\n"));
+      // A connection that has served a response sends the same one again.
+      socket.send(rows_response(served == 0 && ++queries == 2 ? "second\ty\tz\n" : "first\ty\tz\n"));
     }
   });
   HttpEngine unused([](const HttpRequest&) { return http_response(500); });
-  Driven d(unused);
-  d.run(core::EngineUpdated{7, server.address()});
-  d.still = d.clock();
-  d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().body, "first\ty\tz\n");
-  d.events.clear();
-  d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().body, "second\ty\tz\n");
+  TestDriver driver(unused);
+  driver.run(core::EngineUpdated{7, server.address()});
+  driver.frozen_time = driver.driver_now();
+  driver.start_attempt();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().body, "first\ty\tz\n");
+  driver.events.clear();
+  driver.start_attempt();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().body, "second\ty\tz\n");
 }
 
-// An engine that has no news says so after 250 ms. Said sooner it is a copy, and the connection is one answer
-// ahead from then on.
-TEST(Engines, AConnectionOnWhichNewsCameTooSoonServesNoOtherQuery) {
+// An engine answers a poll of a running query after 250 ms. An earlier 202 is a duplicate, and from then on
+// the connection is one response ahead.
+TEST(HttpEngineDriver, ConnectionWithAnEarlyPollResponseIsNotReused) {
   std::atomic<int> connections = 0;
   Server server([&](Socket& socket) {
-    const bool first = ++connections == 1;
-    for (int here = 0;; ++here) {
+    const bool is_first = ++connections == 1;
+    for (int served = 0;; ++served) {
       read_http_request(socket);
-      // The statement, a call for news and one more, as the copy was taken for the answer to that; then the
-      // answer comes twice, since it was asked for twice.
-      socket.send(!first     ? rows_response("second\ty\tz\n")
-                  : here < 2 ? http_response(202)
-                             : rows_response("first\ty\tz\n"));
+      // Responses to the statement, to a poll and, since the duplicate was taken for the response to that
+      // poll, to a second poll. The result is sent twice because it was polled twice.
+      socket.send(!is_first    ? rows_response("second\ty\tz\n")
+                  : served < 2 ? http_response(202)
+                               : rows_response("first\ty\tz\n"));
     }
   });
   HttpEngine unused([](const HttpRequest&) { return http_response(500); });
-  Driven d(unused);
-  d.run(core::EngineUpdated{7, server.address()});
-  d.still = d.clock();
-  d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().body, "first\ty\tz\n");
-  d.events.clear();
-  *d.still += 1s;  // long enough for the connection to be used again
-  d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().body, "second\ty\tz\n");
+  TestDriver driver(unused);
+  driver.run(core::EngineUpdated{7, server.address()});
+  driver.frozen_time = driver.driver_now();
+  driver.start_attempt();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().body, "first\ty\tz\n");
+  driver.events.clear();
+  *driver.frozen_time += 1s;  // long enough for the connection to count as reusable
+  driver.start_attempt();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().body, "second\ty\tz\n");
 }
 
-// Its connection broke with the statement on the way, and another one was faster.
-TEST(Engines, AStatementThatComesAfterItsEngineDidNotKnowItIsFollowedToItsEnd) {
+// The statement's connection broke while it was in transit, and a poll on another connection overtook it.
+TEST(HttpEngineDriver, KeepsPollingIfTheStatementArrivesAfterAnUnknownQueryResponse) {
   std::atomic<int> polls = 0;
-  HttpEngine engine([&](const HttpRequest& call) -> std::optional<std::string> {
-    if (call.method == "POST") return std::nullopt;
+  HttpEngine engine([&](const HttpRequest& request) -> std::optional<std::string> {
+    if (request.method == "POST") return std::nullopt;
     return polls++ == 0 ? http_response(500) : rows_response("x\ty\tz\n");
   });
-  Driven d(engine);
-  d.start();
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::served);
+  TestDriver driver(engine);
+  driver.start_attempt();
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::served);
 }
 
-TEST(Engines, AStatementThatComesAfterItsDeleteIsDeletedOnceMore) {
-  std::promise<void> over;
-  HttpEngine engine([&, wait = over.get_future().share()](const HttpRequest& call) {
-    if (call.method == "POST") wait.wait();
+TEST(HttpEngineDriver, SendsASecondDeleteIfTheStatementMayArriveAfterTheFirst) {
+  std::promise<void> release;
+  HttpEngine engine([&, released = release.get_future().share()](const HttpRequest& request) {
+    if (request.method == "POST") released.wait();
     return http_response(204);
   });
-  const std::shared_ptr<void> freed(nullptr, [&](void*) { over.set_value(); });
-  Driven d(engine);
-  d.start();
-  d.until(engine, [](const HttpRequest& c) { return c.method == "POST"; });
-  d.run(core::CancelAttempt{d.id});
-  EXPECT_EQ(d.wait<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
-  EXPECT_EQ(engine.requests.count(gone), 2U);
+  const std::shared_ptr<void> release_on_exit(nullptr, [&](void*) { release.set_value(); });
+  TestDriver driver(engine);
+  driver.start_attempt();
+  driver.run_until_requested(engine, [](const HttpRequest& request) { return request.method == "POST"; });
+  driver.run(core::CancelAttempt{driver.attempt_id});
+  EXPECT_EQ(driver.wait_for_event<core::AttemptEnded>().outcome, AttemptOutcome::cancelled);
+  EXPECT_EQ(engine.requests.count(is_delete), 2U);
 }
 
 }  // namespace
