--- a/src/policy/control_loop.cpp
+++ b/src/policy/control_loop.cpp
@@ -1,4 +1,5 @@
-// Thread budgets by the PI loop, release of queued requests by rank, and the shares of tenants.
+// Thread budgets set by a PI controller, release of queued requests in the order of class priority, and the
+// shares of tenants.
 #include <algorithm>
 #include <cmath>
 #include <ranges>
@@ -8,32 +9,47 @@
 
 namespace heronwell {
 namespace {
-constexpr Time kControlPeriod = 2s;        // between samples; the paper's 30 s is too slow for waits of one second
-constexpr double kControllerGain = -0.80;     // tenths of the pool, for an error of one wait aim
-constexpr double kControllerZero = 0.30;      // r: how much of the last error is taken back
-constexpr double kGainBudgetShare = 0.10;  // the gain's unit as a share of the pool, so that it fits any fleet
-constexpr double kWaitTargetShare = 0.30;   // wait aim as a share of the latency aim; the rest is for running
-constexpr double kMaxControllerError = 3.0;  // wait aims; one sample can't throw the budget across the pool
-constexpr double kShareTolerance = 1.3;  // a tenant may take this many times its share before it waits last
-constexpr double kExtraShareTokens = 3;        // queries on top: a quiet gateway's come in clumps
-constexpr double kArrivalRateSeconds = 20.0;     // s, of the arrival rate that shares are measured against
-constexpr double kMaxRateGrowth = 1.3;      // times the usual rate that a period counts for at most
-constexpr double kMinBackOffFactor = 0.5;       // of the crowd limits, at the least
-constexpr double kBackOffDecrease = 0.85, kBackOffIncrease = 0.05;  // a period
-constexpr Time kSlowEngineRetryInterval = 4s;      // without an answer of a slow engine, it gets another chance
-constexpr double kRunningThreadsSeconds = 5.0;  // s, of the threads that run here
+// Between two steps of the controller. 30 s, as in the paper, is too slow for waits of one second.
+constexpr Time kControlPeriod = 2s;
+// Of the controller, in units of kGainBudgetShare, for an error of one wait target.
+constexpr double kControllerGain = -0.80;
+// The zero r of the controller: the share of the previous error that is subtracted.
+constexpr double kControllerZero = 0.30;
+// Unit of the gain as a share of the total thread budget, so that it fits fleets of any size.
+constexpr double kGainBudgetShare = 0.10;
+// The wait target as a share of the latency target; the rest is for execution.
+constexpr double kWaitTargetShare = 0.30;
+// Largest error of one sample, in wait targets: a single sample must not move a budget too far.
+constexpr double kMaxControllerError = 3.0;
+// A tenant may use this many times its share unless the fleet is overloaded.
+constexpr double kShareTolerance = 1.3;
+// Queries beyond its share that a tenant may save up: those of a quiet gateway come in bursts.
+constexpr double kExtraShareTokens = 3;
+// Time constant of the arrival rate that shares are measured against.
+constexpr double kArrivalRateSeconds = 20.0;
+// One period counts for at most this many times the usual arrival rate.
+constexpr double kMaxRateGrowth = 1.3;
+// Lower limit of the back-off factor, which lowers the load limits.
+constexpr double kMinBackOffFactor = 0.5;
+constexpr double kBackOffDecrease = 0.85,  // factor for each period of congestion
+    kBackOffIncrease = 0.05;               // added in each other period
+// A slow engine that has not responded for this long gets another chance.
+constexpr Time kSlowEngineRetryInterval = 4s;
+// Time constant of the usual number of running threads.
+constexpr double kRunningThreadsSeconds = 5.0;
 }  // namespace
 
 bool Gateway::Impl::release_next(bool under_budget) {
-  for (const auto c : priority_order_) {
-    auto& cls = classes_[c];
+  for (const auto class_index : priority_order_) {
+    auto& cls = classes_[class_index];
     if (cls.queue.empty() || under_budget != (cls.running_threads < cls.thread_budget)) continue;
     if (release_from_queue(cls)) return true;
   }
   return false;
 }
 
-// The first of the queue that may go; only those waiting for their key's turn are passed by.
+// Requests that wait for an earlier one with the same order key are skipped; any other request that cannot be
+// sent keeps the ones behind it waiting.
 bool Gateway::Impl::release_from_queue(ClassState& cls) {
   for (auto it = cls.queue.begin(); it != cls.queue.end(); ++it) {
     auto& request = requests_.at(*it);
@@ -47,35 +63,42 @@
 }
 
 void Gateway::Impl::assign_thread_budgets() {
-  double left = total_thread_budget_;
-  for (const auto c : priority_order_) {
-    auto& cls = classes_[c];
-    const double least = settings_.classes[c].threads;
-    cls.thread_budget =
-        std::max(least, std::min(std::clamp(cls.controller_output, least, std::max(least, total_thread_budget_)), left));
-    left = std::max(0.0, left - cls.thread_budget);
+  double remaining = total_thread_budget_;
+  for (const auto class_index : priority_order_) {
+    auto& cls = classes_[class_index];
+    const double min_budget = settings_.classes[class_index].threads;
+    cls.thread_budget = std::max(min_budget, std::min(std::clamp(cls.controller_output, min_budget,
+                                                                 std::max(min_budget, total_thread_budget_)),
+                                                      remaining));
+    remaining = std::max(0.0, remaining - cls.thread_budget);
   }
 }
 
-// A fleet slower than usual has passed its peak, wherever that lies with the mix of the day: fewer at once.
-// Not where priorities keep the short classes quick, nor where a gateway hears too little to tell.
+// If the latency ratio shows congestion, the fleet is past the load at which it does most work, wherever that
+// lies for the present mix of queries: fewer queries may run at once. Not where priorities keep short queries
+// fast, nor where a gateway gets too few responses to judge by.
 void Gateway::Impl::update_back_off() {
   if (settings_.priorities || small_budget_) return;
-  back_off_factor_ = fleet_latency_ratio_ > kCongestedLatencyRatio ? std::max(kMinBackOffFactor, back_off_factor_ * kBackOffDecrease)
-                                               : std::min(1.0, back_off_factor_ + kBackOffIncrease);
+  back_off_factor_ = fleet_latency_ratio_ > kCongestedLatencyRatio
+                         ? std::max(kMinBackOffFactor, back_off_factor_ * kBackOffDecrease)
+                         : std::min(1.0, back_off_factor_ + kBackOffIncrease);
 }
 
-// What the loop goes by in this period, and for what reasons queries were given up.
 void Gateway::Impl::log_state() {
-  const auto tenths = [](double value) { return std::to_string(value).substr(0, 4); };
-  std::string said = "pool " + tenths(total_thread_budget_) + " level " + tenths(fleet_load()) + " pace " + tenths(fleet_latency_ratio_);
-  for (const auto c : priority_order_)
-    said += "; " + settings_.classes[c].name + " held " + std::to_string(classes_[c].queue.size()) + " running " +
-            std::to_string(classes_[c].running_threads) + " budget " + tenths(classes_[c].thread_budget) +
-            " usual " + tenths(classes_[c].recent_latency) + " estimate " + tenths(classes_[c].mean_estimate);
-  for (const auto& [why, count] : rejections_by_reason_) said += "; " + std::to_string(count) + " " + why;
+  const auto format_short = [](double value) { return std::to_string(value).substr(0, 4); };
+  std::string text = "thread budget " + format_short(total_thread_budget_) + " fleet load " +
+                     format_short(fleet_load()) + " latency ratio " + format_short(fleet_latency_ratio_);
+  for (const auto class_index : priority_order_)
+    text += "; " + settings_.classes[class_index].name + " queued " +
+            std::to_string(classes_[class_index].queue.size()) + " running " +
+            std::to_string(classes_[class_index].running_threads) + " budget " +
+            format_short(classes_[class_index].thread_budget) + " latency " +
+            format_short(classes_[class_index].recent_latency) + " estimated work " +
+            format_short(classes_[class_index].mean_estimate);
+  for (const auto& [reason, count] : rejections_by_reason_)
+    text += "; " + std::to_string(count) + " " + reason;
   rejections_by_reason_.clear();
-  emit(Trace{said});
+  emit(Trace{text});
 }
 
 void Gateway::Impl::run_controller() {
@@ -88,21 +111,23 @@
     fleet_changed_ = true;
   }
   log_state();
-  const double all = total_thread_budget();
-  const double wanted = sum_over_classes(&ClassState::controller_output);
-  for (const auto c : priority_order_) {
-    auto& cls = classes_[c];
-    const double aim = kWaitTargetShare * to_seconds(settings_.classes[c].latency_target);
-    double waits = cls.wait_seconds, count = cls.released_queries;
-    for (const auto id : cls.queue) {  // those still held must show
-      waits += to_seconds(now_ - requests_.at(id).queued_since);
+  const double total = total_thread_budget();
+  const double requested = sum_over_classes(&ClassState::controller_output);
+  for (const auto class_index : priority_order_) {
+    auto& cls = classes_[class_index];
+    const double wait_target = kWaitTargetShare * to_seconds(settings_.classes[class_index].latency_target);
+    double total_wait = cls.wait_seconds, count = cls.released_queries;
+    for (const auto id : cls.queue) {  // requests that are still queued count too
+      total_wait += to_seconds(now_ - requests_.at(id).queued_since);
       ++count;
     }
-    const double error = std::max(-kMaxControllerError, (aim - (count > 0 ? waits / count : 0)) / aim);
-    const double before = wanted > all ? cls.thread_budget : cls.controller_output;
-    const double least = settings_.classes[c].threads;
-    cls.controller_output = std::clamp(
-        before + kControllerGain * kGainBudgetShare * all * (error - kControllerZero * cls.previous_error), least, std::max(least, all));
+    const double error =
+        std::max(-kMaxControllerError, (wait_target - (count > 0 ? total_wait / count : 0)) / wait_target);
+    const double previous_output = requested > total ? cls.thread_budget : cls.controller_output;
+    const double min_budget = settings_.classes[class_index].threads;
+    cls.controller_output = std::clamp(previous_output + kControllerGain * kGainBudgetShare * total *
+                                                             (error - kControllerZero * cls.previous_error),
+                                       min_budget, std::max(min_budget, total));
     cls.previous_error = error;
     cls.wait_seconds = cls.released_queries = 0;
   }
@@ -110,21 +135,24 @@
 
 void Gateway::Impl::apply(const TimerExpired&) {
   if (now_ < last_tick_ + kTimerInterval) return;
-  const double passed = to_seconds(now_ - last_tick_);
+  const double passed_seconds = to_seconds(now_ - last_tick_);
   last_tick_ = now_;
   emit(SetTimer{kTimerInterval});
-  if (settings_.membership_on_request && membership_retry_at_ > Time::zero() && now_ >= membership_retry_at_) {
+  if (settings_.membership_on_request && membership_retry_at_ > Time::zero() &&
+      now_ >= membership_retry_at_) {
     membership_retry_at_ = Time::zero();
     emit(WatchMembership{true});
   }
-  refill_tenant_tokens(passed);
-  usual_running_threads_ += std::min(1.0, passed / kRunningThreadsSeconds) * (total_running_threads() - usual_running_threads_);
+  refill_tenant_tokens(passed_seconds);
+  usual_running_threads_ += std::min(1.0, passed_seconds / kRunningThreadsSeconds) *
+                            (total_running_threads() - usual_running_threads_);
   while (!deadlines_.empty() && deadlines_.begin()->first <= now_)
-    reject_or_fail(requests_.at(deadlines_.begin()->second), "at the deadline");
+    reject_or_fail(requests_.at(deadlines_.begin()->second), "deadline reached");
   reject_overdue();
-  for (const auto id : std::vector(busy_engines_.begin(), busy_engines_.end())) check_stalled_attempts(engines_.at(id));
+  for (const auto id : std::vector(busy_engines_.begin(), busy_engines_.end()))
+    check_stalled_attempts(engines_.at(id));
   for (auto* engine : small_budget_ ? std::vector<Engine*>() : ready_engines_) probe_if_outdated(*engine, 0);
-  draw_admission_slots(passed);
+  draw_admission_slots(passed_seconds);
   report_to_peers();
   if (now_ >= last_sample_ + kControlPeriod) {
     update_arrival_rate(to_seconds(now_ - last_sample_));
@@ -134,24 +162,27 @@
   remove_expired();
 }
 
-double Gateway::Impl::tenant_share_rate(std::size_t t) const {
-  return (fleet_overloaded() ? 1 : kShareTolerance) * settings_.tenants[t].share * arrival_rate_;
+double Gateway::Impl::tenant_share_rate(std::size_t tenant) const {
+  return (fleet_overloaded() ? 1 : kShareTolerance) * settings_.tenants[tenant].share * arrival_rate_;
 }
 
-// A flood must not raise the share it is measured against: the rate grows slowly, and not in a crowd.
-void Gateway::Impl::update_arrival_rate(double passed) {
-  const double rate = period_arrivals_ / passed;
-  arrival_rate_age_ = std::min(arrival_rate_age_ + passed, kArrivalRateSeconds);
-  const double most = fleet_overloaded() ? arrival_rate_ : kMaxRateGrowth * arrival_rate_ + 1 / passed;
+// A burst must not raise the rate that shares are measured against: the rate grows slowly, and not at all
+// while the fleet is overloaded.
+void Gateway::Impl::update_arrival_rate(double passed_seconds) {
+  const double rate = period_arrivals_ / passed_seconds;
+  arrival_rate_age_seconds_ = std::min(arrival_rate_age_seconds_ + passed_seconds, kArrivalRateSeconds);
+  const double max_rate =
+      fleet_overloaded() ? arrival_rate_ : kMaxRateGrowth * arrival_rate_ + 1 / passed_seconds;
   arrival_rate_ +=
-      passed / arrival_rate_age_ * ((3 * passed < arrival_rate_age_ ? std::min(rate, most) : rate) - arrival_rate_);
+      passed_seconds / arrival_rate_age_seconds_ *
+      ((3 * passed_seconds < arrival_rate_age_seconds_ ? std::min(rate, max_rate) : rate) - arrival_rate_);
   period_arrivals_ = 0;
 }
 
-void Gateway::Impl::refill_tenant_tokens(double passed) {
-  for (std::size_t t = 0; t < tenant_tokens_.size(); ++t)
-    tenant_tokens_[t] =
-        std::min(tenant_tokens_[t] + tenant_share_rate(t) * passed, tenant_share_rate(t) * kShareBurstSeconds + kExtraShareTokens);
+void Gateway::Impl::refill_tenant_tokens(double passed_seconds) {
+  for (std::size_t tenant = 0; tenant < tenant_tokens_.size(); ++tenant)
+    tenant_tokens_[tenant] = std::min(tenant_tokens_[tenant] + tenant_share_rate(tenant) * passed_seconds,
+                                      tenant_share_rate(tenant) * kShareBurstSeconds + kExtraShareTokens);
 }
 
 }  // namespace heronwell
--- a/src/policy/gateway_impl.hpp
+++ b/src/policy/gateway_impl.hpp
@@ -28,7 +28,7 @@
  public:
   Impl(Settings settings, std::uint64_t seed);
   void handle(Time now, const std::vector<Event>& events, std::vector<Action>& out);
-  [[nodiscard]] ClassStats class_stats(ClassIndex c) const;
+  [[nodiscard]] ClassStats class_stats(ClassIndex class_index) const;
   [[nodiscard]] double total_thread_budget() const;
 
  private:
@@ -52,7 +52,7 @@
   // How many times slower than the fleet the engine is: 1 unless it is clearly slower.
   double slowness(const Engine& engine) const;
 
-  // cold_start.cpp: slow start
+  // cold_start.cpp: engines that have just started
 
   // The engine's process started at `since`: forgets how the one before it behaved.
   void begin_slow_start(Engine& engine, Time since);
@@ -65,9 +65,9 @@
   bool slow_start_allows(const Request& request, const Engine& engine) const;
   // Largest mean work of a class, core-seconds.
   double max_class_work() const;
-  // Decides at random which engines in slow start this gateway may send to. `passed`: seconds since the call
-  // before.
-  void draw_admission_slots(double passed);
+  // Decides at random which engines in slow start this gateway may send to. `passed_seconds`: since
+  // the call before.
+  void draw_admission_slots(double passed_seconds);
 
   // arrivals.cpp: admission of new requests, queue times
 
@@ -76,7 +76,7 @@
   // The request waited while this process was paused, and cannot meet its latency target any more.
   bool arrived_too_late(const Arrival& arrival);
   // Latency target of a query with the usual work, seconds.
-  double usual_latency_target(ClassIndex c) const;
+  double usual_latency_target(ClassIndex class_index) const;
   // Estimated work against the mean estimate of the class; updates that mean.
   double estimate_relative_size(const Arrival& arrival);
   // The request is too large for the present load of the fleet.
@@ -148,7 +148,7 @@
   void retry_or_reject(Request& request);
   // The query itself makes engines fail.
   bool query_at_fault(const Request& request) const;
-  // Cancels the attempt if the request can still be retried elsewhere.
+  // Cancels the attempt if the request can be retried elsewhere or has another attempt.
   void cancel_stalled_attempt(RequestId id, std::size_t index);
   // Starts a hedged attempt if this one takes too long, and cancels it if it seems lost.
   void hedge_slow_attempt(RequestId id, std::size_t index);
@@ -160,8 +160,7 @@
   // The engine's process ran at `at`: it may not have restarted when its connection broke.
   void record_sign_of_life(Engine& engine, Time at);
   void record_success(Engine& engine, const Request& request, const AttemptResult& result);
-  // `latency` in seconds.
-  static void update_baseline_latency(ClassState& cls, double latency);
+  static void update_baseline_latency(ClassState& cls, double latency_seconds);
   // `weight`: of this failure in the error rate.
   void record_failure(Engine& engine, double weight);
   // Sends the engine nothing for a while and cancels its attempts. `reason` is logged.
@@ -215,8 +214,8 @@
 
   // engine_choice.cpp: the choice of the engine for a request
 
-  // The engine can take a query of class `c`.
-  bool has_capacity(const Engine& engine, ClassIndex c) const;
+  // The engine can take a query of class `class_index`.
+  bool has_capacity(const Engine& engine, ClassIndex class_index) const;
   // A bulk load of the data group, sent by this gateway, runs on the engine.
   bool has_running_load(std::int64_t group, const Engine& engine) const;
   // Threads per core, with penalties; the lowest score is the best.
@@ -249,10 +248,10 @@
   void apply(const TimerExpired&);
   // Queries a second that tenant `tenant` may send through this gateway.
   double tenant_share_rate(std::size_t tenant) const;
-  // `passed`: seconds since the last update.
-  void update_arrival_rate(double passed);
-  // `passed`: seconds since the last refill.
-  void refill_tenant_tokens(double passed);
+  // `passed_seconds`: since the last update.
+  void update_arrival_rate(double passed_seconds);
+  // `passed_seconds`: since the last refill.
+  void refill_tenant_tokens(double passed_seconds);
 
   Settings settings_;
   std::mt19937_64 random_;
@@ -279,16 +278,16 @@
       loads_block_readers_ = false;  // some class waits for bulk loads of its data group
   bool small_budget_ = false;        // the total thread budget is enough for a few queries only
   unsigned max_query_threads_ = 1;
-  double arrival_rate_age_ = 0,     // s of arrivals that arrival_rate_ is based on
-      arrival_rate_ = 0,            // queries a second at this gateway
-      period_arrivals_ = 0,         // in this control period
-      probe_tokens_ = 0,            // probes that may still be sent
-      peer_byte_tokens_ = 0;        // bytes that may still be sent to other gateways
-  double hedge_work_tokens_ = 0;    // core-seconds that hedged attempts may still cost
-  double total_thread_budget_ = 0,  // this gateway's share, threads
-      fleet_cores_ = 0,             // of the ready engines
-      fleet_latency_ratio_ = 1,     // average over all engines
-      back_off_factor_ = 1;         // on the load limits, at most 1
+  double arrival_rate_age_seconds_ = 0,  // of arrivals that arrival_rate_ is based on
+      arrival_rate_ = 0,                 // queries a second at this gateway
+      period_arrivals_ = 0,              // in this control period
+      probe_tokens_ = 0,                 // probes that may still be sent
+      peer_byte_tokens_ = 0;             // bytes that may still be sent to other gateways
+  double hedge_work_tokens_ = 0;         // core-seconds that hedged attempts may still cost
+  double total_thread_budget_ = 0,       // this gateway's share, threads
+      fleet_cores_ = 0,                  // of the ready engines
+      fleet_latency_ratio_ = 1,          // average over all engines
+      back_off_factor_ = 1;              // on the load limits, at most 1
   // Averages over gateways, from their messages: seconds between two queries of a gateway, and that interval
   // multiplied by its threads.
   double peer_query_interval_ = 0, peer_thread_seconds_ = 0;
--- a/src/policy/requests.cpp
+++ b/src/policy/requests.cpp
@@ -1,4 +1,4 @@
-// The life of a request, up to its final answer.
+// The life of a request, up to its final response.
 #include <algorithm>
 #include <cmath>
 #include <ranges>
@@ -8,10 +8,10 @@
 
 namespace heronwell {
 
-void Gateway::Impl::apply(const RequestCancelled& left) {
-  auto* request = find_request(left.request);
+void Gateway::Impl::apply(const RequestCancelled& cancelled) {
+  auto* request = find_request(cancelled.request);
   if (request == nullptr || !request->open) return;
-  // Withdrawn before it was sent anywhere, it has used nothing of its tenant's share.
+  // A request that is cancelled before it was sent to an engine does not count against its tenant's share.
   const auto tenant = request->arrival.tenant;
   if (request->attempts.empty() && tenant < tenant_tokens_.size()) tenant_tokens_[tenant] += 1;
   close(*request);
@@ -22,12 +22,12 @@
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-void Gateway::Impl::reject_or_fail(Request& request, const char* why) {
+void Gateway::Impl::reject_or_fail(Request& request, const char* reason) {
   if (!request.open) return;
-  ++rejections_by_reason_[why];
+  ++rejections_by_reason_[reason];
   const auto id = request.arrival.request;
-  const Time pause = settings_.sends_retry_after ? settings_.max_retry_after : Time::zero();
-  may_reject(request) ? emit(Reject{id, pause, why}) : emit(Fail{id, why});
+  const Time retry_after = settings_.sends_retry_after ? settings_.max_retry_after : Time::zero();
+  may_reject(request) ? emit(Reject{id, retry_after, reason}) : emit(Fail{id, reason});
   close(request);
 }
 
@@ -47,10 +47,10 @@
   requests_.erase(id);
 }
 
-void Gateway::Impl::cancel_attempt(Request& request, std::size_t n) {
-  if (!settings_.can_cancel || !request.attempts[n].awaiting_result()) return;
-  request.attempts[n].cancel_requested = true;
-  emit(CancelAttempt{request.arrival.request, static_cast<AttemptIndex>(n)});
+void Gateway::Impl::cancel_attempt(Request& request, std::size_t index) {
+  if (!settings_.can_cancel || !request.attempts[index].awaiting_result()) return;
+  request.attempts[index].cancel_requested = true;
+  emit(CancelAttempt{request.arrival.request, static_cast<AttemptIndex>(index)});
 }
 
 const ClassSettings& Gateway::Impl::settings_of(const Request& request) const {
--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -1,4 +1,4 @@
-// The rules of service: every send passes may_send(), every refusal may_refuse().
+// The rules of service: each send passes may_send(), each rejection may_reject().
 #include <algorithm>
 #include <cmath>
 #include <ranges>
@@ -24,34 +24,38 @@
          (request.attempts.empty() || within_retry_budget()) && slow_start_allows(request, engine);
 }
 
-// Two are awaited at the most; one called off may still be out.
+// At most two attempts without a cancellation; a cancelled one may still be in flight.
 bool Gateway::Impl::may_add_attempt(const Request& request) const {
   return settings_.can_hedge ? request.attempts_awaiting_result() < 2 : !request.has_attempt_in_flight();
 }
 
 bool Gateway::Impl::placement_allowed(const Request& request, const Engine& engine) const {
-  const auto among = [](const std::optional<std::vector<std::uint16_t>>& list, std::uint16_t value) {
-    return !list || std::find(list->begin(), list->end(), value) != list->end();
+  const auto allows = [](const std::optional<std::vector<std::uint16_t>>& allowed, std::uint16_t value) {
+    return !allowed || std::find(allowed->begin(), allowed->end(), value) != allowed->end();
   };
-  return among(settings_of(request).allowed_zones, engine.entry.zone) &&
-         among(settings_of(request).allowed_kinds, engine.entry.kind);
+  return allows(settings_of(request).allowed_zones, engine.entry.zone) &&
+         allows(settings_of(request).allowed_kinds, engine.entry.kind);
 }
 
-// Keyed: a repeat has to leave before this, however late its connection comes up.
+// A retry of a keyed request must leave before the deduplication window ends, however long it takes to
+// connect.
 Time Gateway::Impl::retry_deadline(const Request& request) const {
-  const auto first = std::ranges::find_if_not(request.attempts, &Attempt::known_not_run);
-  const bool keyed = settings_of(request).idempotency == Idempotency::keyed && first != request.attempts.end();
-  return keyed ? first->sent + settings_of(request).deduplication_window - kTimerInterval : Time::zero();
+  const auto first_run = std::ranges::find_if_not(request.attempts, &Attempt::known_not_run);
+  const bool keyed_retry =
+      settings_of(request).idempotency == Idempotency::keyed && first_run != request.attempts.end();
+  return keyed_retry ? first_run->sent + settings_of(request).deduplication_window - kTimerInterval
+                     : Time::zero();
 }
 
 bool Gateway::Impl::retry_allowed(const Request& request, const Engine& engine) const {
-  const auto first = std::ranges::find_if_not(request.attempts, &Attempt::known_not_run);
-  if (settings_of(request).idempotency == Idempotency::safe || first == request.attempts.end()) return true;
-  const auto group = settings_of(request).deduplication_scope;
+  const auto first_run = std::ranges::find_if_not(request.attempts, &Attempt::known_not_run);
+  if (settings_of(request).idempotency == Idempotency::safe || first_run == request.attempts.end())
+    return true;
+  const auto scope = settings_of(request).deduplication_scope;
   return now_ < retry_deadline(request) &&
-         (group == DeduplicationScope::all ||
-          (group == DeduplicationScope::zone && first->zone == engine.entry.zone) ||
-          (group == DeduplicationScope::cell && first->cell == engine.entry.cell));
+         (scope == DeduplicationScope::all ||
+          (scope == DeduplicationScope::zone && first_run->zone == engine.entry.zone) ||
+          (scope == DeduplicationScope::cell && first_run->cell == engine.entry.cell));
 }
 
 bool Gateway::Impl::is_next_for_key(const Request& request) const {
@@ -66,13 +70,14 @@
   const auto& budget = *settings_.retry_budget;
   remove_expired();
   return static_cast<double>(recent_retries_.size() + 1) <=
-         std::floor(budget.free_retries + budget.retries_per_request * static_cast<double>(recent_arrivals_.size()));
+         std::floor(budget.free_retries +
+                    budget.retries_per_request * static_cast<double>(recent_arrivals_.size()));
 }
 
 void Gateway::Impl::remove_expired() {
-  const Time back = settings_.retry_budget ? settings_.retry_budget->window : Time::zero();
-  while (!recent_arrivals_.empty() && recent_arrivals_.front() <= now_ - back) recent_arrivals_.pop_front();
-  while (!recent_retries_.empty() && recent_retries_.front() < now_ - back) recent_retries_.pop_front();
+  const Time window = settings_.retry_budget ? settings_.retry_budget->window : Time::zero();
+  while (!recent_arrivals_.empty() && recent_arrivals_.front() <= now_ - window) recent_arrivals_.pop_front();
+  while (!recent_retries_.empty() && recent_retries_.front() < now_ - window) recent_retries_.pop_front();
   key_order_.remove_expired_pauses(now_);
 }
 
--- a/src/state.cpp
+++ b/src/state.cpp
@@ -18,24 +18,24 @@
 }
 }  // namespace
 
-void validate(const Settings& s) {
+void validate(const Settings& settings) {
   const auto throw_invalid = [](const char* error) {
     throw std::invalid_argument(std::string("heronwell settings: ") + error);
   };
-  if (s.gateways == 0) throw_invalid("gateways must be 1 or more");
-  if (s.classes.empty()) throw_invalid("classes must not be empty");
-  if (s.kinds.empty()) throw_invalid("kinds must not be empty");
-  if (s.max_attempts == 0) throw_invalid("max_attempts must be 1 or more");
-  if (s.slow_start_initial_share <= 0 || s.slow_start_initial_share > 1)
+  if (settings.gateways == 0) throw_invalid("gateways must be 1 or more");
+  if (settings.classes.empty()) throw_invalid("classes must not be empty");
+  if (settings.kinds.empty()) throw_invalid("kinds must not be empty");
+  if (settings.max_attempts == 0) throw_invalid("max_attempts must be 1 or more");
+  if (settings.slow_start_initial_share <= 0 || settings.slow_start_initial_share > 1)
     throw_invalid("slow_start_initial_share must be above 0 and at most 1");
-  for (const auto& c : s.classes) {
-    if (c.latency_target <= Time::zero()) throw_invalid("classes[].aim must be above 0");
-    if (c.threads == 0) throw_invalid("classes[].threads must be 1 or more");
+  for (const auto& cls : settings.classes) {
+    if (cls.latency_target <= Time::zero()) throw_invalid("classes[].aim must be above 0");
+    if (cls.threads == 0) throw_invalid("classes[].threads must be 1 or more");
   }
-  for (const auto& k : s.kinds) {
-    if (!(k.cores > 0)) throw_invalid("kinds[].cores must be above 0");
+  for (const auto& kind : settings.kinds) {
+    if (!(kind.cores > 0)) throw_invalid("kinds[].cores must be above 0");
   }
-  if (s.retry_budget && s.retry_budget->window <= Time::zero())
+  if (settings.retry_budget && settings.retry_budget->window <= Time::zero())
     throw_invalid("retry_budget.window must be above 0");
 }
 
