--- a/src/policy/gateway_impl.hpp
+++ b/src/policy/gateway_impl.hpp
@@ -52,7 +52,7 @@
   // How many times slower than the fleet the engine is: 1 unless it is clearly slower.
   double slowness(const Engine& engine) const;
 
-  // cold_start.cpp: engines that have just started
+  // slow_start.cpp: engines that have just started
 
   // The engine's process started at `since`: forgets how the one before it behaved.
   void begin_slow_start(Engine& engine, Time since);
