--- a/src/core/clock.hpp
+++ b/src/core/clock.hpp
@@ -1,5 +1,5 @@
-// The clocks of the program. Every span (deadlines, timers, windows, graces) is measured on the monotonic
-// one.
+// The program's clocks. All durations (deadlines, timers, grace periods and so on) are measured on the
+// monotonic clock.
 #pragma once
 
 #include <chrono>
@@ -8,15 +8,15 @@
 
 using Time = std::chrono::nanoseconds;
 
-// Nanoseconds since a fixed moment before the system's start. Never steps. The moment lies so far back that
-// no reading is near zero, which stands for "never" wherever a Time is remembered.
+// Monotonic time: nanoseconds since a fixed point long before the system started. It never jumps. No reading
+// is near zero, since a stored Time of zero means "never".
 [[nodiscard]] inline Time monotonic_now() {
   constexpr Time kOrigin = std::chrono::hours(24 * 365);
   return kOrigin + std::chrono::steady_clock::now().time_since_epoch();
 }
 
-// Nanoseconds since the Unix epoch. May step either way at any time: only for moments that other machines
-// tell.
+// Wall-clock time: nanoseconds since the Unix epoch. It may jump forward or back at any time, so it is only
+// used for timestamps from other machines.
 [[nodiscard]] inline Time wall_now() { return std::chrono::system_clock::now().time_since_epoch(); }
 
 }  // namespace bellstair::core
--- a/src/core/wheel.hpp
+++ b/src/core/wheel.hpp
@@ -1,4 +1,4 @@
-// A hashed timer wheel of coarse ticks. Arming costs O(1); a tick looks at one slot only.
+// A hashed timer wheel with a coarse tick. Arming a timer costs O(1); a tick visits one slot.
 #pragma once
 
 #include <algorithm>
@@ -13,27 +13,30 @@
 
 using Time = std::chrono::nanoseconds;
 
-// Timers can't be taken back: whoever is called checks whether it is still of interest.
+// Timers can't be cancelled: the callback checks whether the timer still applies. `Key` is passed to it.
 template <class Key>
 class TimerWheel {
  public:
+  // `tick`: the resolution; greater than 0.
   explicit TimerWheel(Time tick) : tick_(tick) {}
 
-  // Due in the first advance() whose time is `at` or later, within a tick. What is past is due in the next.
+  // The timer fires in an advance() to `at` or later, never before `at` and at most one tick after it. A
+  // timer for the past fires at the next tick.
   void arm(Time at, Key key) {
-    const auto due = std::max(at.count() / tick_.count() + (at.count() % tick_.count() != 0 ? 1 : 0), hand_);
+    const auto due =
+        std::max(at.count() / tick_.count() + (at.count() % tick_.count() != 0 ? 1 : 0), next_tick_);
     slots_[static_cast<std::size_t>(due) % kSlots].push_back({due, std::move(key)});
     ++armed_;
   }
 
-  // Calls `fire(key)` for all that is due at `now`; `fire` may arm further timers.
+  // Calls `fire(key)` for every timer that is due at `now`. `fire` may arm further timers.
   template <class Fire>
   void advance(Time now, Fire fire) {
     const auto target = now.count() / tick_.count();
-    if (target < hand_) return;
-    // After a long sleep one turn round visits every slot; entries are compared with the target.
-    const auto from = std::max(hand_, target - kTurn + 1);
-    hand_ = target + 1;
+    if (target < next_tick_) return;
+    // After a long pause one revolution visits every slot, since timers are compared with the target tick.
+    const auto from = std::max(next_tick_, target - kTicksPerRevolution + 1);
+    next_tick_ = target + 1;
     for (auto at = from; at <= target; ++at) {
       auto& slot = slots_[static_cast<std::size_t>(at) % kSlots];
       if (slot.empty()) continue;
@@ -53,16 +56,18 @@
     }
   }
 
+  // The number of timers that have not fired.
   [[nodiscard]] std::size_t armed() const { return armed_; }
 
  private:
   static constexpr std::size_t kSlots = 1024;
-  static constexpr std::int64_t kTurn = kSlots;
+  static constexpr std::int64_t kTicksPerRevolution = kSlots;
   Time tick_;
-  std::int64_t hand_ = 0;  // the first tick not yet visited
+  std::int64_t next_tick_ = 0;  // the first tick that was not visited yet
   std::size_t armed_ = 0;
+  // The timers by due tick modulo kSlots, as pairs of due tick and key.
   std::array<std::vector<std::pair<std::int64_t, Key>>, kSlots> slots_;
-  std::vector<Key> due_;
+  std::vector<Key> due_;  // reused by advance() to save allocations
 };
 
 }  // namespace bellstair::core
