--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The command line.
+// The command line of bellstair.
 #include <getopt.h>
 
 #include <csignal>
@@ -19,13 +19,13 @@
     "usage: bellstair COMMAND [OPTIONS]\n"
     "\n"
     "  serve         run one broker, in the foreground, until SIGTERM\n"
-    "  check-config  read the configuration, say what is wrong with it, and exit\n"
+    "  check-config  check the configuration, report any error, and exit\n"
     "  version       print the version\n"
     "\n"
-    "  -c, --config FILE   the platform's configuration; by default what BALANCER_CONFIG names\n"
-    "  -f, --fronts FILE   what is off on the platform: MySQL, plug-ins, directories; by default nothing is "
-    "on\n"
-    "  -h, --help          this text\n";
+    "  -c, --config FILE   the platform's configuration file (default: the value of BALANCER_CONFIG)\n"
+    "  -f, --fronts FILE   the optional fronts: MySQL, the admission plug-in, the directory (default: "
+    "none)\n"
+    "  -h, --help          print this text\n";
 
 struct Options {
   std::string command, config, fronts;
@@ -52,10 +52,9 @@
     }
     if (c == '?') std::exit(2);
   }
-  if (optind >= argc) usage_error("no command");
+  if (optind >= argc) usage_error("missing command");
   out.command = argv[optind];
-  if (optind + 1 < argc)
-    usage_error(std::string("one command at a time, not '") + argv[optind + 1] + "' too");
+  if (optind + 1 < argc) usage_error(std::string("unexpected argument '") + argv[optind + 1] + "'");
   return out;
 }
 
@@ -69,11 +68,11 @@
   }
   if (options.command != "serve" && options.command != "check-config")
     usage_error("unknown command '" + options.command + "'");
-  // A signal that comes before the program can heed it waits; Broker::run() lets it through.
-  sigset_t held;
-  sigemptyset(&held);
-  for (const int signal : {SIGHUP, SIGTERM, SIGINT}) sigaddset(&held, signal);
-  if (options.command == "serve") sigprocmask(SIG_BLOCK, &held, nullptr);
+  // Signals received before the program can handle them stay pending until Broker::run() unblocks them.
+  sigset_t blocked_signals;
+  sigemptyset(&blocked_signals);
+  for (const int signal : {SIGHUP, SIGTERM, SIGINT}) sigaddset(&blocked_signals, signal);
+  if (options.command == "serve") sigprocmask(SIG_BLOCK, &blocked_signals, nullptr);
   using bellstair::config::read_file;
   try {
     auto config = bellstair::config::parse(read_file(options.config, "configuration"));
@@ -83,7 +82,7 @@
     if (options.command == "check-config") {
       if (fronts.plugin)
         bellstair::plugin::Admission(*fronts.plugin, config.names, config.settings.max_retry_after);
-      std::puts("the configuration is fine");
+      std::puts("the configuration is valid");
       return 0;
     }
     ev::default_loop loop(0);
