--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -15,44 +15,46 @@
 namespace {
 using namespace std::chrono_literals;
 
-// The loop turns every Reducer::kTick. After a longer pause (stopped, or without a processor) clients may
-// have left and answers come that were not read yet.
-constexpr core::Time kPause = 50ms;
-// A configuration that can't be read is tried again so often, and for so long.
-constexpr core::Time kReloadPause = 100ms, kMostReloadWait = 10s;
-// Steps of the wall clock are logged from this size on.
-constexpr core::Time kToldStep = 500ms;
-// A poll of the loop reports so many descriptors at the least, if they are ready.
-constexpr std::size_t kReadyPerPoll = 64;
+// The loop iterates at least every Reducer::kTick. A longer gap means that the process was paused (stopped,
+// or without a processor): clients may have disconnected and answers may have arrived that were not read yet.
+constexpr core::Time kMaxPollGap = 50ms;
+// If the configuration can't be read, it is tried again at this interval for this long.
+constexpr core::Time kReloadRetryInterval = 100ms, kMaxReloadTime = 10s;
+// Jumps of the wall clock that exceed this are logged.
+constexpr core::Time kMinLoggedJump = 500ms;
+// A poll of the loop reports at least this many descriptors, if so many are ready.
+constexpr std::size_t kMinReadyPerPoll = 64;
 
 double seconds(core::Time time) { return std::chrono::duration<double>(time).count(); }
 
-// Clients hold a third of the descriptors at the most; what is left over is for listeners, files and the
-// like.
-constexpr std::size_t kSpare = 48;
-std::size_t client_share(std::size_t sockets) { return sockets / 3 + 16; }
-std::size_t engine_share(std::size_t sockets) {
-  const auto clients = client_share(sockets) + kSpare;
+// Client connections get a third of the descriptors, engine connections the rest, except for the reserved
+// ones, which are for listeners, files and other uses.
+constexpr std::size_t kReservedDescriptors = 48;
+std::size_t max_client_connections(std::size_t sockets) { return sockets / 3 + 16; }
+std::size_t max_engine_connections(std::size_t sockets) {
+  const auto clients = max_client_connections(sockets) + kReservedDescriptors;
   return sockets > clients + 8 ? sockets - clients : 8;
 }
 
-net::Pool::Limits limits(const config::Config& config) {
+net::Pool::Limits pool_limits(const config::Config& config) {
   net::Pool::Limits out;
-  out.most = engine_share(config.max_descriptors);
+  out.most = max_engine_connections(config.max_descriptors);
   out.dial_timeout = config.connect_timeout;
-  // Well before the engine closes it: a call must not cross the close.
+  // Well before the engine closes an idle connection, so that no request is sent on one that is being closed.
   out.idle_life = config.idle_timeout / 2;
   return out;
 }
 
-// A predecessor that is being killed may hold the address still, and the system lack memory for a moment.
-constexpr core::Time kMostListenWait = 10s, kListenPause = 100ms;
+// Listening is retried, since a previous process that is being killed may still use the address, and the
+// system may be short of memory for a moment.
+constexpr core::Time kMaxListenWait = 10s, kListenRetryInterval = 100ms;
 
+// Listens on `address`, the value of the configuration's `field`. Throws StartupError.
 net::Fd listen(const std::string& address, const char* field) {
   const auto at = net::parse_address(address);
-  if (!at) throw CannotStart(std::string(field) + ": is not an address with a port");
-  const auto give_up = core::monotonic_now() + kMostListenWait;
-  bool told = false;
+  if (!at) throw StartupError(std::string(field) + ": is not an address with a port");
+  const auto give_up_at = core::monotonic_now() + kMaxListenWait;
+  bool logged = false;
   while (true) {
     auto fd = net::listen_tcp(*at);
     if (fd) {
@@ -60,54 +62,55 @@
       return fd;
     }
     const int error = errno;
-    const auto problem = std::string(field) + ": " + address + ": " + std::strerror(error);
-    const bool may_pass = error == EADDRINUSE || net::local_shortage(error);
-    if (!may_pass || core::monotonic_now() >= give_up) throw CannotStart(problem);
-    if (!std::exchange(told, true)) std::fprintf(stderr, "bellstair: %s; trying again\n", problem.c_str());
-    std::this_thread::sleep_for(kListenPause);
+    const auto error_text = std::string(field) + ": " + address + ": " + std::strerror(error);
+    const bool transient = error == EADDRINUSE || net::local_shortage(error);
+    if (!transient || core::monotonic_now() >= give_up_at) throw StartupError(error_text);
+    if (!std::exchange(logged, true)) std::fprintf(stderr, "bellstair: %s; retrying\n", error_text.c_str());
+    std::this_thread::sleep_for(kListenRetryInterval);
   }
 }
 }  // namespace
 
-net::Post Broker::poster() {
+net::Post Broker::event_sink() {
   return [this](core::Event event) { post(std::move(event)); };
 }
 
-std::unique_ptr<net::EngineDriver> Broker::make_engines() {
+std::unique_ptr<net::EngineDriver> Broker::make_engine_driver() {
   const auto& names = config_.names;
   if (fronts_.mysql_engines)
-    return std::make_unique<mysql::Engines>(loop_, limits(config_), *fronts_.mysql_engines, names.class_names,
-                                            poster());
-  auto calm = limits(config_);
-  calm.settle = 20ms;  // a second answer may come some milliseconds after the first
-  return std::make_unique<platform::Engines>(loop_, calm, names.class_names, names.load_fields, poster());
+    return std::make_unique<mysql::Engines>(loop_, pool_limits(config_), *fronts_.mysql_engines,
+                                            names.class_names, event_sink());
+  auto platform_limits = pool_limits(config_);
+  platform_limits.settle = 20ms;  // a second response may follow some milliseconds after the first
+  return std::make_unique<platform::Engines>(loop_, platform_limits, names.class_names, names.load_fields,
+                                             event_sink());
 }
 
-// Of interest only once the program is about to end.
-bool Broker::unwritten() const {
+// Always false before draining: it is only used to decide when the program can exit.
+bool Broker::output_pending() const {
   if (reducer_.lifecycle().phase() < core::Phase::draining) return false;
-  return front_->unwritten() || (mysql_ && mysql_->unwritten());
+  return platform_front_->unwritten() || (mysql_front_ && mysql_front_->unwritten());
 }
 
 Broker::Broker(ev::loop_ref loop, config::Config config, config::Fronts fronts, std::string file)
     : loop_(loop),
-      file_(std::move(file)),
+      config_file_(std::move(file)),
       config_(std::move(config)),
       fronts_(std::move(fronts)),
       reducer_(config_.settings, config_.seed, (config_.memory_mb << 20) / 4,
                core::wall_now() - core::monotonic_now()),
-      engines_(make_engines()),
-      changelog_(loop, config_.changelog, config_.names, config_.initial_membership.seq, poster()),
-      peers_(loop, config_, poster()),
-      tick_(loop),
-      call_(loop),
+      engine_driver_(make_engine_driver()),
+      changelog_(loop, config_.changelog, config_.names, config_.initial_membership.seq, event_sink()),
+      peers_(loop, config_, event_sink()),
+      tick_timer_(loop),
+      policy_timer_(loop),
       prepare_(loop),
       check_(loop),
-      reload_(loop) {
-  const auto share = client_share(config_.max_descriptors);
-  front_ = std::make_unique<platform::Front>(
-      loop, listen(config_.listen, "listen"), config_.names, fronts_.mysql ? share / 2 : share, handles_,
-      [this] { return reducer_.lifecycle().green(); }, poster());
+      reload_timer_(loop) {
+  const auto max_clients = max_client_connections(config_.max_descriptors);
+  platform_front_ = std::make_unique<platform::Front>(
+      loop, listen(config_.listen, "listen"), config_.names, fronts_.mysql ? max_clients / 2 : max_clients,
+      last_client_handle_, [this] { return reducer_.lifecycle().ready(); }, event_sink());
   if (fronts_.plugin)
     plugin_ =
         std::make_unique<plugin::Admission>(*fronts_.plugin, config_.names, config_.settings.max_retry_after);
@@ -115,33 +118,33 @@
     directory_ = std::make_unique<directory::Ldap>(loop, *fronts_.directory, config_.names);
   if (fronts_.mysql) {
     mysql::Front::Options options;
-    options.most_connections = share / 2;
+    options.most_connections = max_clients / 2;
     options.escaped_rows = fronts_.mysql_engines.has_value();
     if (directory_) {
       options.lookup = [this](const std::string& user, const std::string& password, directory::Done done) {
         directory_->look_up(user, password, std::move(done));
       };
     }
-    mysql_ = std::make_unique<mysql::Front>(loop, listen(fronts_.mysql->listen, "mysql.listen"),
-                                            *fronts_.mysql, config_.names, config_.settings,
-                                            std::move(options), handles_, config_.seed, poster());
+    mysql_front_ = std::make_unique<mysql::Front>(
+        loop, listen(fronts_.mysql->listen, "mysql.listen"), *fronts_.mysql, config_.names, config_.settings,
+        std::move(options), last_client_handle_, config_.seed, event_sink());
   }
   for (auto& change : config_.initial_membership.changes) post(std::move(change));
   post(core::Listening{});
 
-  tick_.set<Broker, &Broker::on_tick>(this);
-  call_.set<Broker, &Broker::on_call>(this);
+  tick_timer_.set<Broker, &Broker::on_tick>(this);
+  policy_timer_.set<Broker, &Broker::on_policy_timer>(this);
   prepare_.set<Broker, &Broker::on_prepare>(this);
   check_.set<Broker, &Broker::on_check>(this);
-  reload_.set<Broker, &Broker::on_reload>(this);
+  reload_timer_.set<Broker, &Broker::on_reload>(this);
 }
 
 void Broker::run() {
   SignalFlags::install();
-  tick_.start(0, seconds(core::Reducer::kTick));
+  tick_timer_.start(0, seconds(core::Reducer::kTick));
   prepare_.start();
-  polled_ = core::monotonic_now();
-  wall_offset_ = core::wall_now() - polled_;
+  last_poll_at_ = core::monotonic_now();
+  wall_offset_ = core::wall_now() - last_poll_at_;
   check_.start();
   loop_.run(0);
 }
@@ -149,115 +152,117 @@
 void Broker::on_tick(ev::timer&, int) {
   if (SignalFlags::take_reload()) post(core::ReloadRequested{});
   if (SignalFlags::take_stop()) post(core::ShutdownRequested{});
-  if (turns_behind_ > 0) return;  // what has come is read before anything is taken for overdue
-  watch_wall_clock();
+  if (catch_up_iterations_ > 0) return;  // read what has arrived before anything times out
+  log_wall_clock_jumps();
   const auto now = core::monotonic_now();
-  engines_->tick(now);
-  front_->tick(now);
-  if (mysql_) mysql_->tick(now);
+  engine_driver_->tick(now);
+  platform_front_->tick(now);
+  if (mysql_front_) mysql_front_->tick(now);
   if (directory_) directory_->tick(now);
   changelog_.tick(now);
-  if (reducer_.lifecycle().closed()) front_->stop();
-  post(core::Tick{unwritten()});
+  if (reducer_.lifecycle().stopped_accepting()) platform_front_->stop();
+  post(core::Tick{output_pending()});
 }
 
-// Nothing goes by the wall clock, but whoever reads the log beside others' has to know of its steps.
-void Broker::watch_wall_clock() {
+// Nothing depends on the wall clock, but jumps matter to those who compare the log with other machines' logs.
+void Broker::log_wall_clock_jumps() {
   const auto offset = core::wall_now() - core::monotonic_now();
-  const auto step = offset - std::exchange(wall_offset_, offset);
-  if (step > kToldStep || step < -kToldStep)
-    run(core::Log{"the wall clock was stepped by " + std::to_string(seconds(step)) + " s"});
+  const auto jump = offset - std::exchange(wall_offset_, offset);
+  if (jump > kMinLoggedJump || jump < -kMinLoggedJump)
+    execute(core::Log{"the wall clock jumped by " + std::to_string(seconds(jump)) + " s"});
 }
 
-void Broker::on_call(ev::timer&, int) { post(core::Tick{unwritten()}); }
+void Broker::on_policy_timer(ev::timer&, int) { post(core::Tick{output_pending()}); }
 
-// Called first in each turn of the loop, before anything is read.
+// Called first in each iteration of the loop, before anything is read.
 void Broker::on_check(ev::check&, int) {
-  const auto before = std::exchange(polled_, core::monotonic_now());
-  if (polled_ - before <= kPause) return;
-  run(core::Log{"the program stood still for " + std::to_string(seconds(polled_ - before)) + " s"});
-  if (turns_behind_ == 0) standstill_began_ = before;
-  turns_behind_ = 1 + config_.max_descriptors / kReadyPerPoll;
+  const auto before = std::exchange(last_poll_at_, core::monotonic_now());
+  if (last_poll_at_ - before <= kMaxPollGap) return;
+  execute(core::Log{"the process was paused for " + std::to_string(seconds(last_poll_at_ - before)) + " s"});
+  if (catch_up_iterations_ == 0) pause_started_at_ = before;
+  catch_up_iterations_ = 1 + config_.max_descriptors / kMinReadyPerPoll;
 }
 
 void Broker::post(core::Event event) {
   auto* const arrived = std::get_if<core::RequestArrived>(&event);
-  if (arrived != nullptr && turns_behind_ > 0) arrived->received_at = standstill_began_;
+  if (arrived != nullptr && catch_up_iterations_ > 0) arrived->received_at = pause_started_at_;
   events_.push_back(std::move(event));
 }
 
-// Before the loop sleeps: all that has happened in this turn of it.
+// Called before the loop sleeps: processes all events of this iteration.
 void Broker::on_prepare(ev::prepare&, int) {
-  if (turns_behind_ > 0 && --turns_behind_ > 0) return call_.start(0, 0);  // another turn, without a sleep
+  if (catch_up_iterations_ > 0 && --catch_up_iterations_ > 0)
+    return policy_timer_.start(0, 0);  // one more iteration, without sleeping
   do {
-    pump();
-    engines_->settle();
-    front_->settle();
-    if (mysql_) mysql_->settle();
+    process_events();
+    engine_driver_->settle();
+    platform_front_->settle();
+    if (mysql_front_) mysql_front_->settle();
   } while (!events_.empty());
-  const auto due = reducer_.next_call();
+  const auto due = reducer_.next_policy_run();
   if (!due) return;
-  call_.start(std::max(0.0, seconds(*due - core::monotonic_now())) + 1e-5, 0);
+  policy_timer_.start(std::max(0.0, seconds(*due - core::monotonic_now())) + 1e-5, 0);
 }
 
-void Broker::pump() {
+void Broker::process_events() {
   while (!events_.empty()) {
     auto event = std::move(events_.front());
     events_.pop_front();
     if (auto* arrived = std::get_if<core::RequestArrived>(&event); arrived != nullptr && plugin_)
-      admit(arrived->request);
+      apply_admission(arrived->request);
     effects_.clear();
     reducer_.reduce(core::monotonic_now(), std::move(event), effects_);
-    for (auto& effect : effects_) std::visit([this](auto& e) { run(e); }, effect);
+    for (auto& effect : effects_) std::visit([this](auto& requested) { execute(requested); }, effect);
   }
 }
 
-// A script that fails for one request fails for many: one line a second says enough.
-void Broker::admit(core::ClientRequest& asked) {
-  const auto said = plugin_->admit(asked);
+// Logs at most one error a second, since a script that fails for one request fails for many.
+void Broker::apply_admission(core::ClientRequest& request) {
+  const auto plugin_error = plugin_->admit(request);
   const auto now = core::monotonic_now();
-  if (said.empty() || now < plugin_logged_ + 1s) return;
-  plugin_logged_ = now;
-  run(core::Log{said});
+  if (plugin_error.empty() || now < plugin_logged_at_ + 1s) return;
+  plugin_logged_at_ = now;
+  execute(core::Log{plugin_error});
 }
 
-void Broker::run(const core::Answer& effect) {
-  if (!front_->run(effect) && mysql_) mysql_->run(effect);
+void Broker::execute(const core::Answer& effect) {
+  if (!platform_front_->run(effect) && mysql_front_) mysql_front_->run(effect);
 }
 
-void Broker::run(const core::Log& effect) {
+void Broker::execute(const core::Log& effect) {
   std::fprintf(stderr, "bellstair %s: %s\n", config_.name.c_str(), effect.text.c_str());
 }
 
-void Broker::run(const core::ReadConfiguration&) {
-  reload_until_ = core::monotonic_now() + kMostReloadWait;
+void Broker::execute(const core::ReadConfiguration&) {
+  reload_deadline_ = core::monotonic_now() + kMaxReloadTime;
   read_configuration(true);
 }
 
 void Broker::on_reload(ev::timer&, int) { read_configuration(false); }
 
-// Read whole, and as strictly as at the start, before anything of it is used. Out of descriptors, or while it
-// is being written, it can't be: it is tried again then, and only the first problem is told.
-void Broker::read_configuration(bool tell_problem) {
+// The whole file is read and checked as strictly as at startup before any of it is used. That fails while the
+// file is being written or while the process is out of descriptors, so it is retried; only the first error is
+// reported.
+void Broker::read_configuration(bool report_error) {
   core::ConfigurationRead read;
   try {
-    const auto again = config::parse(config::read_file(file_, "configuration"));
-    read.changelog = again.changelog;
-    for (const auto& [field, text] : again.restart_only_fields) {
+    const auto new_config = config::parse(config::read_file(config_file_, "configuration"));
+    read.changelog = new_config.changelog;
+    for (const auto& [field, text] : new_config.restart_only_fields) {
       if (text != config_.restart_only_fields.at(field)) read.restart_required.push_back(field);
     }
   } catch (const std::exception& error) {
     read.error = error.what();
   }
   const bool failed = !read.error.empty();
-  if (failed && core::monotonic_now() < reload_until_) {
-    reload_.start(seconds(kReloadPause), 0);
+  if (failed && core::monotonic_now() < reload_deadline_) {
+    reload_timer_.start(seconds(kReloadRetryInterval), 0);
   } else {
-    reload_.stop();
+    reload_timer_.stop();
   }
-  if (!failed || tell_problem) post(std::move(read));
+  if (!failed || report_error) post(std::move(read));
 }
 
-void Broker::run(const core::Exit&) { loop_.break_loop(ev::ALL); }
+void Broker::execute(const core::Exit&) { loop_.break_loop(ev::ALL); }
 
 }  // namespace bellstair::app
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -1,5 +1,5 @@
-// The program on its loop: events from the fronts, engines, change log and peers go through the reducer, and
-// each effect that it asks for to whom it concerns.
+// The program's event loop: passes events from the fronts, engines, change log and peers to the reducer, and
+// its effects to the components that execute them.
 #pragma once
 
 #include <ev++.h>
@@ -20,70 +20,75 @@
 
 namespace bellstair::app {
 
-struct CannotStart : std::runtime_error {
+// The program can't start; what() names the configuration field and the reason.
+struct StartupError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 class Broker {
  public:
-  // `file`: the configuration's, to be read again on SIGHUP.
+  // Listens on all configured addresses. `file`: the configuration file, read again on SIGHUP. Throws
+  // StartupError, and what the constructors of the configured components throw.
   Broker(ev::loop_ref loop, config::Config config, config::Fronts fronts, std::string file);
-  void run();  // until it has stopped
+  // Runs the loop until the program has stopped, on SIGTERM or SIGINT.
+  void run();
 
  private:
+  // Queues an event for the reducer.
   void post(core::Event event);
   void on_tick(ev::timer& timer, int events);
-  void on_call(ev::timer& timer, int events);
+  void on_policy_timer(ev::timer& timer, int events);
   void on_prepare(ev::prepare& prepare, int events);
   void on_check(ev::check& check, int events);
-  void watch_wall_clock();
+  void log_wall_clock_jumps();
   void on_reload(ev::timer& timer, int events);
-  void read_configuration(bool tell_problem);
-  void pump();
-  void admit(core::ClientRequest& asked);
-  [[nodiscard]] net::Post poster();
-  [[nodiscard]] std::unique_ptr<net::EngineDriver> make_engines();
-  [[nodiscard]] bool unwritten() const;
+  void read_configuration(bool report_error);
+  void process_events();
+  // Runs the admission plug-in on the request. Errors of the plug-in are logged.
+  void apply_admission(core::ClientRequest& request);
+  [[nodiscard]] net::Post event_sink();
+  [[nodiscard]] std::unique_ptr<net::EngineDriver> make_engine_driver();
+  [[nodiscard]] bool output_pending() const;
 
-  void run(const core::Answer& effect);
-  void run(const core::StartAttempt& effect) { engines_->run(effect); }
-  void run(core::Transmit& effect) { engines_->run(effect); }
-  void run(const core::CancelAttempt& effect) { engines_->run(effect); }
-  void run(const core::SetPriority& effect) { engines_->run(effect); }
-  void run(const core::ProbeEngine& effect) { engines_->run(effect); }
-  void run(const core::EngineUpdated& effect) { engines_->run(effect); }
-  void run(const core::SendToPeers& effect) { peers_.run(effect); }
-  void run(const core::Log& effect);
-  void run(const core::ReadConfiguration&);
-  void run(const core::WatchChangeLog& effect) { changelog_.follow(effect.address); }
-  void run(const core::Exit&);
+  void execute(const core::Answer& effect);
+  void execute(const core::StartAttempt& effect) { engine_driver_->run(effect); }
+  void execute(core::Transmit& effect) { engine_driver_->run(effect); }
+  void execute(const core::CancelAttempt& effect) { engine_driver_->run(effect); }
+  void execute(const core::SetPriority& effect) { engine_driver_->run(effect); }
+  void execute(const core::ProbeEngine& effect) { engine_driver_->run(effect); }
+  void execute(const core::EngineUpdated& effect) { engine_driver_->run(effect); }
+  void execute(const core::SendToPeers& effect) { peers_.run(effect); }
+  void execute(const core::Log& effect);
+  void execute(const core::ReadConfiguration&);
+  void execute(const core::WatchChangeLog& effect) { changelog_.follow(effect.address); }
+  void execute(const core::Exit&);
 
   ev::loop_ref loop_;
-  std::string file_;
+  std::string config_file_;
   config::Config config_;
   config::Fronts fronts_;
-  std::uint64_t handles_ = 0;
-  std::deque<core::Event> events_;
+  std::uint64_t last_client_handle_ = 0;  // all fronts assign handles from this
+  std::deque<core::Event> events_;        // not yet processed
   core::Effects effects_;
   core::Reducer reducer_;
-  std::unique_ptr<net::EngineDriver> engines_;
-  std::unique_ptr<platform::Front> front_;
-  // Off on the platform.
+  std::unique_ptr<net::EngineDriver> engine_driver_;
+  std::unique_ptr<platform::Front> platform_front_;
+  // Optional; null unless configured.
   std::unique_ptr<directory::Ldap> directory_;
   std::unique_ptr<plugin::Admission> plugin_;
-  std::unique_ptr<mysql::Front> mysql_;
-  core::Time plugin_logged_{};
-  core::Time wall_offset_{};       // wall time less monotonic time, when last looked at
-  core::Time polled_{};            // when the loop's last poll returned
-  core::Time standstill_began_{};  // the last poll before the program stood still
-  std::size_t turns_behind_ = 0;   // turns of the loop until all that came meanwhile has been read
+  std::unique_ptr<mysql::Front> mysql_front_;
+  core::Time plugin_logged_at_{};
+  core::Time wall_offset_{};             // wall-clock time minus monotonic time, when last read
+  core::Time last_poll_at_{};            // when the loop's last poll returned
+  core::Time pause_started_at_{};        // the last poll before the process was paused
+  std::size_t catch_up_iterations_ = 0;  // iterations until all input from during the pause has been read
   platform::ChangeLog changelog_;
   platform::Peers peers_;
-  ev::timer tick_, call_;
+  ev::timer tick_timer_, policy_timer_;
   ev::prepare prepare_;
   ev::check check_;
-  ev::timer reload_;  // the configuration is tried again
-  core::Time reload_until_{};
+  ev::timer reload_timer_;        // retries to read the configuration
+  core::Time reload_deadline_{};  // no retry after this
 };
 
 }  // namespace bellstair::app
--- a/src/core/lifecycle.hpp
+++ b/src/core/lifecycle.hpp
@@ -9,8 +9,16 @@
 
 using Time = std::chrono::nanoseconds;
 
-enum class Phase { starting, serving, draining, stopping, exited };
+// Phases only advance, in this order.
+enum class Phase {
+  starting,  // until the fronts listen and an engine is known
+  serving,   // ready for clients
+  draining,  // asked to stop: still accepts and answers requests, but is reported as not ready
+  stopping,  // everything is answered, the remaining output is being written
+  exited
+};
 
+// The phase's name in the log.
 [[nodiscard]] constexpr const char* name(Phase phase) {
   switch (phase) {
     case Phase::starting:
@@ -27,62 +35,73 @@
   return "?";
 }
 
-// starting -> serving once the fronts listen and an engine is known, or can't be had for long; any of both ->
-// draining on a request to stop; draining -> stopping once clients have had time to turn away and nothing
-// taken is unanswered; stopping -> exited once all that is left has been written.
+// The phase state machine:
+//   starting -> serving: the fronts listen, and an engine is known or kMaxStartupWait has passed;
+//   starting or serving -> draining: on a request to stop;
+//   draining -> stopping: after kMinDrainTime, once no accepted request is unanswered;
+//   stopping -> exited: once all output is written, or after kMaxFlushTime.
+// All times are on one monotonic clock.
 class Lifecycle {
  public:
-  // After the request to stop, connections and requests go on coming for 0.7 s at the most.
-  static constexpr Time kLinger = std::chrono::milliseconds(800);
-  // The platform kills the program so long after the request to stop at the earliest: the longest deadline of
-  // any class, or this where that is longer, and 0.7 s. What is not answered 0.4 s before is given up, in
-  // time for clients to hear of it and to ask elsewhere.
-  static constexpr Time kLongestDeadline = std::chrono::seconds(3);
-  static constexpr Time kToSpare = std::chrono::milliseconds(300);
-  // Not to be ready turns clients away for good; with no engine known they are refused, and told when to
-  // come.
-  static constexpr Time kMostStart = std::chrono::seconds(3);
-  // What is left to write, and what engines still have to be told, gets this long.
-  static constexpr Time kFlush = std::chrono::milliseconds(300);
+  // Clients may open connections and send requests for up to 0.7 s after the request to stop.
+  static constexpr Time kMinDrainTime = std::chrono::milliseconds(800);
+  // The platform kills the program no earlier than 0.7 s plus the longest request timeout of any class after
+  // the request to stop; a timeout longer than kMaxDrainTimeout counts as kMaxDrainTimeout. Requests that are
+  // unanswered 0.4 s before that are cancelled, so that clients receive the answer and can retry elsewhere.
+  static constexpr Time kMaxDrainTimeout = std::chrono::seconds(3);
+  static constexpr Time kDrainMargin = std::chrono::milliseconds(300);
+  // After this the program is ready even if no engine is known: clients give up for good on a program that
+  // isn't ready, whereas a rejected request tells them when to retry.
+  static constexpr Time kMaxStartupWait = std::chrono::seconds(3);
+  // Limit for writing the remaining output and sending the remaining cancellations to engines.
+  static constexpr Time kMaxFlushTime = std::chrono::milliseconds(300);
 
-  explicit Lifecycle(Time longest_deadline = kLongestDeadline)
-      : most_drain_(std::min(longest_deadline, kLongestDeadline) + kToSpare) {}
+  // `max_request_timeout`: the longest request timeout of any class.
+  explicit Lifecycle(Time max_request_timeout = kMaxDrainTimeout)
+      : max_drain_time_(std::min(max_request_timeout, kMaxDrainTimeout) + kDrainMargin) {}
 
-  void listening() { listening_ = true; }
-  void fleet_known() { fleet_known_ = true; }
-  void stop(Time now) {
+  // All fronts accept connections.
+  void set_listening() { listening_ = true; }
+  // At least one engine is known to be ready.
+  void set_engine_known() { engine_known_ = true; }
+  // Starts to drain, unless the program drains or stops already.
+  void request_stop(Time now) {
     if (phase_ != Phase::starting && phase_ != Phase::serving) return;
     phase_ = Phase::draining;
-    since_ = now;
+    phase_entered_at_ = now;
   }
-  // Moves on by one phase, if what is unanswered (`owed`) and unwritten allows. True if the phase has
-  // changed. Never by two: what is given up as one phase ends still has to be written in the next.
-  bool advance(Time now, bool owed, bool unwritten) {
-    if (!begun_) begun_ = now;
-    const Phase next = next_phase(now, owed, unwritten);
+  // Advances by one phase if that is due, and returns whether it did. `unanswered`: some request has no
+  // answer yet; `output_pending`: some output is not written yet. Never advances by two phases, since the
+  // answers to requests that are cancelled as one phase ends are written in the next.
+  bool advance(Time now, bool unanswered, bool output_pending) {
+    if (!started_at_) started_at_ = now;
+    const Phase next = next_phase(now, unanswered, output_pending);
     if (next == phase_) return false;
     phase_ = next;
-    if (next == Phase::stopping) since_ = now;
+    if (next == Phase::stopping) phase_entered_at_ = now;
     return true;
   }
 
   [[nodiscard]] Phase phase() const { return phase_; }
-  [[nodiscard]] bool overdue(Time now) const {
-    return phase_ == Phase::draining && now >= since_ + most_drain_;
+  // Requests that are still unanswered must be cancelled now.
+  [[nodiscard]] bool drain_expired(Time now) const {
+    return phase_ == Phase::draining && now >= phase_entered_at_ + max_drain_time_;
   }
-  [[nodiscard]] bool green() const { return phase_ == Phase::serving; }
-  // Too late for another request to be sent on: the program would end before its answer came.
-  [[nodiscard]] bool closed() const { return phase_ >= Phase::stopping; }
+  // The result of the readiness check.
+  [[nodiscard]] bool ready() const { return phase_ == Phase::serving; }
+  // New requests are rejected: the program would exit before they were answered.
+  [[nodiscard]] bool stopped_accepting() const { return phase_ >= Phase::stopping; }
 
  private:
-  [[nodiscard]] Phase next_phase(Time now, bool owed, bool unwritten) const {
+  [[nodiscard]] Phase next_phase(Time now, bool unanswered, bool output_pending) const {
     switch (phase_) {
       case Phase::starting:
-        return listening_ && (fleet_known_ || now >= *begun_ + kMostStart) ? Phase::serving : phase_;
+        return listening_ && (engine_known_ || now >= *started_at_ + kMaxStartupWait) ? Phase::serving
+                                                                                      : phase_;
       case Phase::draining:
-        return !owed && now >= since_ + kLinger ? Phase::stopping : phase_;
+        return !unanswered && now >= phase_entered_at_ + kMinDrainTime ? Phase::stopping : phase_;
       case Phase::stopping:
-        return !unwritten || now >= since_ + kFlush ? Phase::exited : phase_;
+        return !output_pending || now >= phase_entered_at_ + kMaxFlushTime ? Phase::exited : phase_;
       case Phase::serving:
       case Phase::exited:
         break;
@@ -91,9 +110,9 @@
   }
 
   Phase phase_ = Phase::starting;
-  bool listening_ = false, fleet_known_ = false;
-  std::optional<Time> begun_;
-  Time since_{}, most_drain_;
+  bool listening_ = false, engine_known_ = false;
+  std::optional<Time> started_at_;            // the first call of advance()
+  Time phase_entered_at_{}, max_drain_time_;  // phase_entered_at_: set for draining and stopping only
 };
 
 }  // namespace bellstair::core
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -9,21 +9,25 @@
 using heronwell::AttemptStatus;
 using heronwell::EngineState;
 
-// Should the module have left a request without its answer, it fails so long before the client gives up.
-constexpr Time kLastCall = 15ms;
-// A ticket that has had its final answer stays used for so long, while not too many are.
-constexpr Time kTicketUsed = 30s;
-constexpr std::size_t kMostUsedTickets = 8192;
-// An answer this close to the deadline is told as timed out, to the fronts that make a difference.
-constexpr Time kTimedOut = 60ms;
-
-std::size_t weight(const ClientRequest& asked) {
-  constexpr std::size_t kEach = 1024;  // for what stands beside the texts
-  return kEach + asked.body.size() + asked.parameters.size() + asked.idempotency_key.size();
-}
-
-AttemptStatus result_of(AttemptOutcome end, bool timed_out) {
-  switch (end) {
+// A request that the policy has left unanswered times out this long before its deadline, so that the answer
+// still reaches the client in time.
+constexpr Time kAnswerMargin = 15ms;
+// The ticket of an answered request can't be used again for this long, or until more than
+// kMaxAnsweredTickets are stored.
+constexpr Time kTicketRetention = 30s;
+constexpr std::size_t kMaxAnsweredTickets = 8192;
+// A failure this close to the deadline or after it is answered as timed out; some fronts report the
+// difference.
+constexpr Time kTimeoutMargin = 60ms;
+
+// An estimate of the memory that the request takes, in bytes.
+std::size_t memory_use(const ClientRequest& request) {
+  constexpr std::size_t kFixedBytes = 1024;  // for everything except the strings
+  return kFixedBytes + request.body.size() + request.parameters.size() + request.idempotency_key.size();
+}
+
+AttemptStatus status_of(AttemptOutcome outcome, bool timed_out) {
+  switch (outcome) {
     case AttemptOutcome::served:
       return AttemptStatus::served;
     case AttemptOutcome::error:
@@ -58,58 +62,59 @@
   return "?";
 }
 
-const char* name(AttemptOutcome end) {
-  switch (end) {
+const char* name(AttemptOutcome outcome) {
+  switch (outcome) {
     case AttemptOutcome::served:
       return "served";
     case AttemptOutcome::error:
       return "error";
     case AttemptOutcome::rejected:
-      return "turned away";
+      return "rejected";
     case AttemptOutcome::expired:
       return "expired";
     case AttemptOutcome::connect_failed:
-      return "not connected";
+      return "connect failed";
     case AttemptOutcome::connection_reset:
-      return "reset";
+      return "connection reset";
     case AttemptOutcome::query_dropped:
-      return "lost";
+      return "query dropped";
     case AttemptOutcome::cancelled:
-      return "withdrawn";
+      return "cancelled";
   }
   return "?";
 }
 
-Time longest_deadline(const heronwell::Settings& settings) {
-  Time out{};
-  for (const auto& set : settings.classes) out = std::max(out, set.request_timeout);
-  return out;
+Time max_request_timeout(const heronwell::Settings& settings) {
+  Time longest{};
+  for (const auto& class_settings : settings.classes)
+    longest = std::max(longest, class_settings.request_timeout);
+  return longest;
 }
 }  // namespace
 
-Reducer::Reducer(heronwell::Settings settings, std::uint64_t seed, std::size_t most_bytes, Time unix_offset)
+Reducer::Reducer(heronwell::Settings settings, std::uint64_t seed, std::size_t max_bytes, Time unix_offset)
     : settings_(settings),
       gateway_(std::move(settings), seed),
-      lifecycle_(longest_deadline(settings_)),
-      most_bytes_(most_bytes),
+      lifecycle_(max_request_timeout(settings_)),
+      max_bytes_(max_bytes),
       start_clock_(unix_offset) {}
 
-void Reducer::reduce(Time now, Event event, Effects& out) {
+void Reducer::reduce(Time now, Event event, Effects& effects) {
   now_ = now;
-  out_ = &out;
-  std::visit([this](auto& e) { on(e); }, event);
-  if (const auto due = next_call(); due && now_ >= *due) consult();
+  effects_ = &effects;
+  std::visit([this](auto& received) { handle(received); }, event);
+  if (const auto due_at = next_policy_run(); due_at && now_ >= *due_at) run_policy();
 }
 
-std::optional<Time> Reducer::next_call() const {
-  if (news_.empty()) return std::nullopt;
-  return called_ + settings_.min_call_interval;
+std::optional<Time> Reducer::next_policy_run() const {
+  if (pending_events_.empty()) return std::nullopt;
+  return last_policy_run_ + settings_.min_call_interval;
 }
 
-// Calls the module with all that has happened, and does what it says. Calls lie a step apart at the least.
-void Reducer::consult() {
-  called_ = now_;
-  for (auto& event : news_) {
+// Runs are at least Settings::min_call_interval apart.
+void Reducer::run_policy() {
+  last_policy_run_ = now_;
+  for (auto& event : pending_events_) {
     if (auto* arrival = std::get_if<heronwell::Arrival>(&event)) {
       const auto* request = find(arrival->request);
       arrival->time_left =
@@ -117,9 +122,9 @@
     }
   }
   actions_.clear();
-  gateway_.handle(now_, news_, actions_);
-  news_.clear();
-  for (auto& action : actions_) std::visit([this](auto& a) { act(a); }, action);
+  gateway_.handle(now_, pending_events_, actions_);
+  pending_events_.clear();
+  for (auto& action : actions_) std::visit([this](auto& requested) { execute(requested); }, action);
 }
 
 Reducer::Request* Reducer::find(RequestId id) {
@@ -136,27 +141,27 @@
 
 const char* Reducer::stage_name(Stage stage) {
   switch (stage) {
-    case Stage::waiting:
+    case Stage::connecting:
       return "waiting for a connection";
-    case Stage::out:
-      return "out";
-    case Stage::leaving:
-      return "being given up";
-    case Stage::over:
-      return "over";
+    case Stage::in_flight:
+      return "in flight";
+    case Stage::cancelling:
+      return "cancelling";
+    case Stage::ended:
+      return "ended";
   }
   return "?";
 }
 
-void Reducer::on(const Listening&) { lifecycle_.listening(); }
+void Reducer::handle(const Listening&) { lifecycle_.set_listening(); }
 
-heronwell::EngineEntry Reducer::entry_of(const Member& member) const {
+heronwell::EngineEntry Reducer::policy_entry(const Member& member) const {
   auto entry = member.entry;
-  if (entry.last_start > Time::zero()) entry.last_start = start_clock_.monotonic(entry.last_start);
+  if (entry.last_start > Time::zero()) entry.last_start = start_clock_.to_monotonic(entry.last_start);
   return entry;
 }
 
-bool Reducer::learn_starts(const MembershipChange& change) {
+bool Reducer::update_start_clock(const MembershipChange& change) {
   bool changed = false;
   for (const auto& member : change.members) {
     const Time start = member.entry.last_start;
@@ -164,386 +169,403 @@
     if (start == Time::zero() || (known != members_.end() && start <= known->second.entry.last_start))
       continue;
     if (!change.live) {
-      changed |= start_clock_.known_at_start(now_, start);
+      changed |= start_clock_.observe_initial(now_, start);
     } else if (!change.full) {
-      changed |= start_clock_.told(now_, start);
+      changed |= start_clock_.observe_live(now_, start);
     }
   }
   return changed;
 }
 
-void Reducer::on(MembershipChange& change) {
-  heronwell::MembershipUpdate listing;
-  listing.kind = !change.full  ? heronwell::MembershipUpdateKind::delta
-                 : fleet_told_ ? heronwell::MembershipUpdateKind::full
-                               : heronwell::MembershipUpdateKind::cached;
+void Reducer::handle(MembershipChange& change) {
+  heronwell::MembershipUpdate update;
+  update.kind = !change.full           ? heronwell::MembershipUpdateKind::delta
+                : membership_received_ ? heronwell::MembershipUpdateKind::full
+                                       : heronwell::MembershipUpdateKind::cached;
   if (change.full) {
     std::erase_if(members_, [&](const auto& known) {
-      const auto same = [&](const Member& m) { return m.entry.engine == known.first; };
+      const auto same = [&](const Member& listed) { return listed.entry.engine == known.first; };
       if (std::ranges::any_of(change.members, same)) return false;
-      put(EngineUpdated{known.first, known.second.address, false, false});
+      emit(EngineUpdated{known.first, known.second.address, false, false});
       return true;
     });
   }
-  if (learn_starts(change)) {
-    for (const auto& [id, member] : members_) listing.engines.push_back(entry_of(member));
+  if (update_start_clock(change)) {
+    for (const auto& [id, member] : members_) update.engines.push_back(policy_entry(member));
   }
   for (auto& member : change.members) {
-    listing.engines.push_back(entry_of(member));
+    update.engines.push_back(policy_entry(member));
     const auto state = member.entry.state;
-    put(EngineUpdated{member.entry.engine, member.address, state != EngineState::gone,
-                      state == EngineState::ready});
+    emit(EngineUpdated{member.entry.engine, member.address, state != EngineState::gone,
+                       state == EngineState::ready});
     const auto id = member.entry.engine;
-    // Engines come with new ids for ever: what is gone is not kept.
+    // New engines always have new ids: without this the table would grow for ever.
     if (state == EngineState::gone) {
       members_.erase(id);
     } else {
       members_.insert_or_assign(id, std::move(member));
     }
   }
-  fleet_told_ = true;
-  news_.push_back(std::move(listing));
-  // What still waits for a connection to an engine that drains or is gone must not leave after all.
+  membership_received_ = true;
+  pending_events_.push_back(std::move(update));
+  // Attempts that still wait for a connection to an engine that drains or is removed must not be sent.
   for (auto& [id, request] : requests_) {
     for (std::size_t n = 0; n < request.attempts.size(); ++n) {
       auto& attempt = request.attempts[n];
       const auto member = members_.find(attempt.engine);
       const bool ready = member != members_.end() && member->second.entry.state == EngineState::ready;
-      if (attempt.stage == Stage::waiting && !ready)
-        abandon({id, static_cast<AttemptIndex>(n)}, attempt, false);
+      if (attempt.stage == Stage::connecting && !ready)
+        cancel_attempt({id, static_cast<AttemptIndex>(n)}, attempt, false);
     }
   }
-  if (change.live) on(DiscoveryIdle{});
+  if (change.live) handle(DiscoveryIdle{});
 }
 
-void Reducer::on(const DiscoveryIdle& quiet) {
-  if (quiet.caught_up) start_clock_.caught_up(now_);
-  const auto ready = [](const auto& m) { return m.second.entry.state == EngineState::ready; };
-  if (std::ranges::any_of(members_, ready)) lifecycle_.fleet_known();
+void Reducer::handle(const DiscoveryIdle& idle) {
+  if (idle.caught_up) start_clock_.set_caught_up(now_);
+  const auto ready = [](const auto& known) { return known.second.entry.state == EngineState::ready; };
+  if (std::ranges::any_of(members_, ready)) lifecycle_.set_engine_known();
 }
 
-void Reducer::on(RequestArrived& arrived) {
-  auto& asked = arrived.request;
-  if (asked.admission_retry_after)
-    return put(Answer{asked.client, AnswerKind::rejected, *asked.admission_retry_after, {}, {}});
-  forget_tickets();
-  const auto bytes = weight(asked);
-  const bool full = settings_.max_open_requests != 0 && owed_ >= settings_.max_open_requests;
-  if (lifecycle_.closed() || full || held_bytes_ + bytes > most_bytes_) {
-    return put(Answer{asked.client, AnswerKind::rejected, settings_.max_retry_after, {}, {}});
+void Reducer::handle(RequestArrived& arrived) {
+  auto& client_request = arrived.request;
+  if (client_request.admission_retry_after)
+    return emit(
+        Answer{client_request.client, AnswerKind::rejected, *client_request.admission_retry_after, {}, {}});
+  expire_tickets();
+  const auto bytes = memory_use(client_request);
+  const bool full = settings_.max_open_requests != 0 && unanswered_ >= settings_.max_open_requests;
+  if (lifecycle_.stopped_accepting() || full || tracked_bytes_ + bytes > max_bytes_) {
+    return emit(Answer{client_request.client, AnswerKind::rejected, settings_.max_retry_after, {}, {}});
   }
-  // Engines know a query by its ticket: another under the same would get the first one's answer. Nor does a
-  // ticket stand for a new request once it has had its final answer: clients draw one with every try.
-  if (!asked.ticket.empty() && !tickets_.insert(asked.ticket).second)
-    return put(Answer{asked.client, AnswerKind::failed, {}, {}, {}});
+  // Engines identify a query by its ticket, so a second request with the same ticket would get the first
+  // one's result. The ticket of an answered request isn't accepted either, since clients use a new one for
+  // every retry.
+  if (!client_request.ticket.empty() && !tickets_.insert(client_request.ticket).second)
+    return emit(Answer{client_request.client, AnswerKind::failed, {}, {}, {}});
   const auto id = ++last_request_;
   heronwell::Arrival arrival;
   arrival.request = id;
-  arrival.class_index = asked.class_index;
-  arrival.tenant = asked.tenant;
-  arrival.order_key = asked.order_key;
-  arrival.estimated_work = asked.estimated_work;
-  arrival.estimated_memory_mb = asked.estimated_memory_mb;
-  arrival.data_group = asked.data_group;
-  arrival.is_retry = asked.is_retry;
-  by_client_[asked.client] = id;
+  arrival.class_index = client_request.class_index;
+  arrival.tenant = client_request.tenant;
+  arrival.order_key = client_request.order_key;
+  arrival.estimated_work = client_request.estimated_work;
+  arrival.estimated_memory_mb = client_request.estimated_memory_mb;
+  arrival.data_group = client_request.data_group;
+  arrival.is_retry = client_request.is_retry;
+  request_by_client_[client_request.client] = id;
   auto& request = requests_[id];
-  request.taken = now_;
-  request.deadline = (arrived.received_at > Time::zero() ? arrived.received_at : now_) + asked.timeout;
-  request.asked = std::move(asked);
-  held_bytes_ += bytes;
-  ++owed_;
-  wheel_.arm(request.deadline - kLastCall, {Alarm::Kind::deadline, {id, 0}});
-  news_.push_back(arrival);
-}
-
-void Reducer::on(const RequestCancelled& cancelled) {
-  const auto found = by_client_.find(cancelled.client);
-  if (found == by_client_.end()) return;
+  request.accepted_at = now_;
+  request.deadline =
+      (arrived.received_at > Time::zero() ? arrived.received_at : now_) + client_request.timeout;
+  request.client_request = std::move(client_request);
+  tracked_bytes_ += bytes;
+  ++unanswered_;
+  timers_.arm(request.deadline - kAnswerMargin, {Timer::Kind::request_deadline, {id, 0}});
+  pending_events_.push_back(arrival);
+}
+
+void Reducer::handle(const RequestCancelled& cancelled) {
+  const auto found = request_by_client_.find(cancelled.client);
+  if (found == request_by_client_.end()) return;
   const auto id = found->second;
   auto& request = requests_.at(id);
-  request.answered = true;  // nothing is owed any more
-  by_client_.erase(found);
-  --owed_;
-  log_end(request, "dropped", "its client has cancelled it or is gone");
-  news_.push_back(heronwell::RequestCancelled{id});
-  forget_if_done(id);
+  request.answered = true;  // no answer is due any more
+  request_by_client_.erase(found);
+  --unanswered_;
+  log_outcome(request, "cancelled", "the client cancelled it or disconnected");
+  pending_events_.push_back(heronwell::RequestCancelled{id});
+  erase_if_done(id);
 }
 
-// What runs for it is finished, in case it still reads; nothing begins for it any more.
-void Reducer::on(const ClientHalfClosed& ended) {
-  const auto found = by_client_.find(ended.client);
-  if (found == by_client_.end()) return;
-  requests_.at(found->second).client_ended = true;
-  give_up_unless_it_runs(found->second);
+// Attempts in flight continue, since the client may still read the answer; no further attempt is started.
+void Reducer::handle(const ClientHalfClosed& half_closed) {
+  const auto found = request_by_client_.find(half_closed.client);
+  if (found == request_by_client_.end()) return;
+  requests_.at(found->second).client_half_closed = true;
+  cancel_unless_in_flight(found->second);
 }
 
-void Reducer::give_up_unless_it_runs(RequestId id) {
-  const auto runs = [](const Attempt& attempt) { return attempt.stage == Stage::out; };
+void Reducer::cancel_unless_in_flight(RequestId id) {
+  const auto in_flight = [](const Attempt& attempt) { return attempt.stage == Stage::in_flight; };
   const auto& request = requests_.at(id);
-  if (!request.answered && std::ranges::none_of(request.attempts, runs)) give_up(id, "its client has ended");
+  if (!request.answered && std::ranges::none_of(request.attempts, in_flight))
+    cancel_request(id, "the client has closed its sending side");
 }
 
-// The engine's state is looked at once more here: the list may have changed while a connection was made.
-void Reducer::on(const AttemptReady& ready) {
+// Checks the engine's state again, since the membership may have changed while the connection was made.
+void Reducer::handle(const AttemptReady& ready) {
   auto* attempt = find(ready.id);
-  if (attempt == nullptr || attempt->stage != Stage::waiting) return;
+  if (attempt == nullptr || attempt->stage != Stage::connecting) return;
   const auto& request = requests_.at(ready.id.request);
   const auto member = members_.find(attempt->engine);
   const bool usable = member != members_.end() && member->second.entry.state == EngineState::ready;
-  const bool too_late = attempt->leave_by != Time::zero() && now_ >= attempt->leave_by;
-  if (!usable || request.answered || now_ >= attempt->until || too_late)
-    return abandon(ready.id, *attempt, usable && !request.answered);
-  attempt->stage = Stage::out;
+  const bool too_late = attempt->send_by != Time::zero() && now_ >= attempt->send_by;
+  if (!usable || request.answered || now_ >= attempt->deadline || too_late)
+    return cancel_attempt(ready.id, *attempt, usable && !request.answered);
+  attempt->stage = Stage::in_flight;
   attempt->priority = request.priority;
-  const auto& asked = request.asked;
-  put(Transmit{ready.id, asked.class_index, attempt->until - now_, request.memory_mb, request.priority,
-               asked.ticket, asked.idempotency_key, asked.body, asked.parameters});
+  const auto& client_request = request.client_request;
+  emit(Transmit{ready.id, client_request.class_index, attempt->deadline - now_, request.memory_mb,
+                request.priority, client_request.ticket, client_request.idempotency_key, client_request.body,
+                client_request.parameters});
 }
 
-// A note without a figure: neither the attempt nor its engine is lost, however long it takes.
-void Reducer::on(const AttemptProgressed& heard) {
-  const auto* attempt = find(heard.id);
-  if (attempt == nullptr || attempt->stage != Stage::out) return;
-  news_.push_back(heronwell::ProgressReport{heard.id.request, heard.id.index, attempt->engine,
-                                            heronwell::ProgressKind::waiting, 0});
+// Reported to the policy as a wait without a value, so that it treats neither the attempt nor the engine as
+// unresponsive, however long the query takes.
+void Reducer::handle(const AttemptProgressed& progressed) {
+  const auto* attempt = find(progressed.id);
+  if (attempt == nullptr || attempt->stage != Stage::in_flight) return;
+  pending_events_.push_back(heronwell::ProgressReport{progressed.id.request, progressed.id.index,
+                                                      attempt->engine, heronwell::ProgressKind::waiting, 0});
 }
 
-void Reducer::on(AttemptEnded& ended) {
+void Reducer::handle(AttemptEnded& ended) {
   auto* attempt = find(ended.id);
-  if (attempt == nullptr || attempt->stage == Stage::over) return;
-  // What was given up before its first byte has never run.
+  if (attempt == nullptr || attempt->stage == Stage::ended) return;
+  // An attempt that was cancelled before it was sent has not run, whatever it was cancelled for.
   const bool unsent = ended.outcome == AttemptOutcome::expired;
-  conclude(ended.id, requests_.at(ended.id.request),
-           unsent ? AttemptStatus::expired : result_of(ended.outcome, attempt->timed_out), &ended);
+  complete_attempt(ended.id, requests_.at(ended.id.request),
+                   unsent ? AttemptStatus::expired : status_of(ended.outcome, attempt->timed_out), &ended);
 }
 
-void Reducer::conclude(AttemptId id, Request& request, AttemptStatus result, AttemptEnded* told) {
+void Reducer::complete_attempt(AttemptId id, Request& request, AttemptStatus status, AttemptEnded* ended) {
   auto& attempt = request.attempts[id.index];
-  attempt.stage = Stage::over;
-  heronwell::AttemptResult outcome;
-  outcome.request = id.request;
-  outcome.attempt = id.index;
-  outcome.engine = attempt.engine;
-  outcome.status = result;
-  outcome.latency = now_ - attempt.begun;
-  if (told != nullptr) {
-    attempt.end = told->outcome;
-    outcome.work = told->work;
-    outcome.memory_needed_mb = told->memory_needed_mb;
-    outcome.load = std::move(told->load);
-    if (result == AttemptStatus::served && !request.answered)
-      serve(request, std::move(told->body), std::move(told->result_schema));
-    if (result != AttemptStatus::served && !told->body.empty()) request.last_word = std::move(told->body);
+  attempt.stage = Stage::ended;
+  heronwell::AttemptResult attempt_result;
+  attempt_result.request = id.request;
+  attempt_result.attempt = id.index;
+  attempt_result.engine = attempt.engine;
+  attempt_result.status = status;
+  attempt_result.latency = now_ - attempt.started_at;
+  if (ended != nullptr) {
+    attempt.outcome = ended->outcome;
+    attempt_result.work = ended->work;
+    attempt_result.memory_needed_mb = ended->memory_needed_mb;
+    attempt_result.load = std::move(ended->load);
+    if (status == AttemptStatus::served && !request.answered)
+      answer_served(request, std::move(ended->body), std::move(ended->result_schema));
+    if (status != AttemptStatus::served && !ended->body.empty())
+      request.last_engine_error = std::move(ended->body);
   }
-  outcome.request_closed = request.answered;
-  news_.push_back(std::move(outcome));
-  if (request.client_ended && !request.answered) return give_up_unless_it_runs(id.request);
-  forget_if_done(id.request);
-}
-
-void Reducer::on(ProbeEnded& ended) {
-  heronwell::ProbeResult probe;
-  auto& sent = probes_[ended.engine];
-  if (!sent.empty()) {
-    probe.latency = now_ - sent.front();
-    sent.erase(sent.begin());
+  attempt_result.request_closed = request.answered;
+  pending_events_.push_back(std::move(attempt_result));
+  if (request.client_half_closed && !request.answered) return cancel_unless_in_flight(id.request);
+  erase_if_done(id.request);
+}
+
+void Reducer::handle(ProbeEnded& ended) {
+  heronwell::ProbeResult probe_result;
+  auto& sent_at = probes_sent_at_[ended.engine];
+  if (!sent_at.empty()) {
+    probe_result.latency = now_ - sent_at.front();
+    sent_at.erase(sent_at.begin());
   }
-  if (sent.empty()) probes_.erase(ended.engine);
-  probe.engine = ended.engine;
-  probe.status = ended.status;
-  probe.load = std::move(ended.load);
-  news_.push_back(std::move(probe));
+  if (sent_at.empty()) probes_sent_at_.erase(ended.engine);
+  probe_result.engine = ended.engine;
+  probe_result.status = ended.status;
+  probe_result.load = std::move(ended.load);
+  pending_events_.push_back(std::move(probe_result));
 }
 
-void Reducer::on(PeerMessageReceived& heard) {
-  news_.push_back(heronwell::PeerMessage{heard.from, std::move(heard.bytes)});
+void Reducer::handle(PeerMessageReceived& received) {
+  pending_events_.push_back(heronwell::PeerMessage{received.from, std::move(received.bytes)});
 }
 
-void Reducer::on(const ShutdownRequested&) {
-  lifecycle_.stop(now_);
-  put(Log{std::string("phase: ") + name(lifecycle_.phase())});
+void Reducer::handle(const ShutdownRequested&) {
+  lifecycle_.request_stop(now_);
+  emit(Log{std::string("phase: ") + name(lifecycle_.phase())});
 }
 
-// What was taken, the engines known and the module's state carry on: only where news come from may change.
-void Reducer::on(ConfigurationRead& read) {
-  if (!read.error.empty()) return put(Log{"the configuration stays as it was: " + read.error});
-  std::string said = "the configuration was read again";
+// Accepted requests, known engines and the policy's state are kept: only the change log's address can change.
+void Reducer::handle(ConfigurationRead& read) {
+  if (!read.error.empty()) return emit(Log{"the configuration stays as it was: " + read.error});
+  std::string text = "the configuration was read again";
   for (std::size_t i = 0; i < read.restart_required.size(); ++i)
-    said += (i == 0 ? "; changed, but of use only after a restart: " : ", ") + read.restart_required[i];
-  put(Log{std::move(said)});
-  put(WatchChangeLog{std::move(read.changelog)});
+    text += (i == 0 ? "; changed, but needs a restart: " : ", ") + read.restart_required[i];
+  emit(Log{std::move(text)});
+  emit(WatchChangeLog{std::move(read.changelog)});
 }
 
-void Reducer::on(const Tick& tick) {
-  wheel_.advance(now_, [this](const Alarm& alarm) { on(alarm); });
-  if (lifecycle_.overdue(now_)) give_up_all();
-  // What stays in the table without an answer owed waits for engines to hear that it was given up.
-  if (!lifecycle_.advance(now_, owed_ > 0, tick.output_pending || !requests_.empty())) return;
-  put(Log{std::string("phase: ") + name(lifecycle_.phase())});
-  if (lifecycle_.phase() == Phase::exited) put(Exit{});
+void Reducer::handle(const Tick& tick) {
+  timers_.advance(now_, [this](const Timer& timer) { handle(timer); });
+  if (lifecycle_.drain_expired(now_)) cancel_all_requests();
+  // An answered request is tracked until the cancellations of its attempts have been sent to the engines.
+  if (!lifecycle_.advance(now_, unanswered_ > 0, tick.output_pending || !requests_.empty())) return;
+  emit(Log{std::string("phase: ") + name(lifecycle_.phase())});
+  if (lifecycle_.phase() == Phase::exited) emit(Exit{});
 }
 
-// The program ends before these could: better a refusal now than none at all. Where a repeat may do harm,
-// they have failed.
-void Reducer::give_up_all() {
+// These requests can't end before the program exits, and would get no answer then. Those that can safely be
+// retried elsewhere are rejected, the others fail.
+void Reducer::cancel_all_requests() {
   std::vector<RequestId> open;
   for (const auto& [id, request] : requests_) {
     if (!request.answered) open.push_back(id);
   }
-  for (const auto id : open) give_up(id, "the program ends");
+  for (const auto id : open) cancel_request(id, "the program is shutting down");
 }
 
-void Reducer::give_up(RequestId id, const char* reason) {
+void Reducer::cancel_request(RequestId id, const char* reason) {
   auto& request = requests_.at(id);
-  const auto& set = settings_.classes[request.asked.class_index];
-  const bool harmless = request.attempts.empty() || set.idempotency == heronwell::Idempotency::safe ||
-                        (set.idempotency == heronwell::Idempotency::keyed &&
-                         set.deduplication_scope == heronwell::DeduplicationScope::all);
-  const Time pause = settings_.sends_retry_after ? settings_.max_retry_after : Time::zero();
-  turn_down(request, harmless ? AnswerKind::rejected : AnswerKind::failed, harmless ? pause : Time::zero(),
-            reason);
+  const auto& class_settings = settings_.classes[request.client_request.class_index];
+  const bool retry_is_safe = request.attempts.empty() ||
+                             class_settings.idempotency == heronwell::Idempotency::safe ||
+                             (class_settings.idempotency == heronwell::Idempotency::keyed &&
+                              class_settings.deduplication_scope == heronwell::DeduplicationScope::all);
+  const Time retry_after = settings_.sends_retry_after ? settings_.max_retry_after : Time::zero();
+  reply_with_error(request, retry_is_safe ? AnswerKind::rejected : AnswerKind::failed,
+                   retry_is_safe ? retry_after : Time::zero(), reason);
   for (std::size_t n = 0; n < request.attempts.size(); ++n)
-    abandon({id, static_cast<AttemptIndex>(n)}, request.attempts[n], false);
-  news_.push_back(heronwell::RequestCancelled{id});
-  forget_if_done(id);
+    cancel_attempt({id, static_cast<AttemptIndex>(n)}, request.attempts[n], false);
+  pending_events_.push_back(heronwell::RequestCancelled{id});
+  erase_if_done(id);
 }
 
-void Reducer::on(const Alarm& alarm) {
-  switch (alarm.kind) {
-    case Alarm::Kind::wake:
-      news_.push_back(heronwell::TimerExpired{});
+void Reducer::handle(const Timer& timer) {
+  switch (timer.kind) {
+    case Timer::Kind::policy:
+      pending_events_.push_back(heronwell::TimerExpired{});
       return;
-    case Alarm::Kind::attempt:
-      if (auto* attempt = find(alarm.id); attempt != nullptr) abandon(alarm.id, *attempt, true);
+    case Timer::Kind::attempt_deadline:
+      if (auto* attempt = find(timer.id); attempt != nullptr) cancel_attempt(timer.id, *attempt, true);
       return;
-    case Alarm::Kind::deadline:
-      if (auto* request = find(alarm.id.request); request != nullptr && !request->answered) {
-        turn_down(*request, AnswerKind::timed_out, Time::zero(), "left open until its deadline");
-        news_.push_back(heronwell::RequestCancelled{alarm.id.request});
-        forget_if_done(alarm.id.request);
+    case Timer::Kind::request_deadline:
+      if (auto* request = find(timer.id.request); request != nullptr && !request->answered) {
+        reply_with_error(*request, AnswerKind::timed_out, Time::zero(), "still unanswered at its deadline");
+        pending_events_.push_back(heronwell::RequestCancelled{timer.id.request});
+        erase_if_done(timer.id.request);
       }
       return;
   }
 }
 
-// ---- the module's actions
+// ---- actions of the policy
 
-void Reducer::act(const heronwell::Send& send) {
+void Reducer::execute(const heronwell::Send& send) {
   auto* request = find(send.request);
   if (request == nullptr) return;
   const AttemptId id{send.request, static_cast<AttemptIndex>(request->attempts.size())};
   Attempt attempt;
   attempt.engine = send.engine;
-  attempt.begun = now_;
-  attempt.until =
+  attempt.started_at = now_;
+  attempt.deadline =
       std::min(send.deadline == Time::zero() ? request->deadline : send.deadline, request->deadline);
-  attempt.leave_by = send.send_by;
+  attempt.send_by = send.send_by;
   request->attempts.push_back(attempt);
-  if (request->answered || request->client_ended || attempt.until <= now_)
-    return conclude(id, *request, AttemptStatus::expired, nullptr);
-  wheel_.arm(attempt.until, {Alarm::Kind::attempt, id});
-  put(StartAttempt{id, send.engine});
+  if (request->answered || request->client_half_closed || attempt.deadline <= now_)
+    return complete_attempt(id, *request, AttemptStatus::expired, nullptr);
+  timers_.arm(attempt.deadline, {Timer::Kind::attempt_deadline, id});
+  emit(StartAttempt{id, send.engine});
 }
 
-void Reducer::act(const heronwell::CancelAttempt& off) {
-  const AttemptId id{off.request, off.attempt};
-  if (auto* attempt = find(id); attempt != nullptr) abandon(id, *attempt, false);
+void Reducer::execute(const heronwell::CancelAttempt& cancel) {
+  const AttemptId id{cancel.request, cancel.attempt};
+  if (auto* attempt = find(id); attempt != nullptr) cancel_attempt(id, *attempt, false);
 }
 
-void Reducer::abandon(AttemptId id, Attempt& attempt, bool timed_out) {
-  if (attempt.stage != Stage::waiting && attempt.stage != Stage::out) return;
-  attempt.stage = Stage::leaving;
+void Reducer::cancel_attempt(AttemptId id, Attempt& attempt, bool timed_out) {
+  if (attempt.stage != Stage::connecting && attempt.stage != Stage::in_flight) return;
+  attempt.stage = Stage::cancelling;
   attempt.timed_out = timed_out;
-  put(CancelAttempt{id});
+  emit(CancelAttempt{id});
 }
 
-void Reducer::act(const heronwell::Reject& refuse) {
-  auto* request = find(refuse.request);
+void Reducer::execute(const heronwell::Reject& reject) {
+  auto* request = find(reject.request);
   if (request == nullptr || request->answered) return;
-  turn_down(*request, AnswerKind::rejected, refuse.retry_after, refuse.reason);
-  forget_if_done(refuse.request);
+  reply_with_error(*request, AnswerKind::rejected, reject.retry_after, reject.reason);
+  erase_if_done(reject.request);
 }
 
-void Reducer::act(const heronwell::Fail& fail) {
+void Reducer::execute(const heronwell::Fail& fail) {
   auto* request = find(fail.request);
   if (request == nullptr || request->answered) return;
-  const bool late = now_ >= request->deadline - kTimedOut;
-  turn_down(*request, late ? AnswerKind::timed_out : AnswerKind::failed, Time::zero(), fail.reason);
-  forget_if_done(fail.request);
+  const bool late = now_ >= request->deadline - kTimeoutMargin;
+  reply_with_error(*request, late ? AnswerKind::timed_out : AnswerKind::failed, Time::zero(), fail.reason);
+  erase_if_done(fail.request);
 }
 
-void Reducer::act(const heronwell::ExecutionLimits& terms) {
-  auto* request = find(terms.request);
+void Reducer::execute(const heronwell::ExecutionLimits& limits) {
+  auto* request = find(limits.request);
   if (request == nullptr) return;
-  request->memory_mb = terms.memory_mb;
-  request->priority = terms.priority;
+  request->memory_mb = limits.memory_mb;
+  request->priority = limits.priority;
   for (std::size_t n = 0; n < request->attempts.size(); ++n) {
     auto& attempt = request->attempts[n];
-    if (attempt.stage != Stage::out || attempt.priority == terms.priority) continue;
-    attempt.priority = terms.priority;
-    put(SetPriority{{terms.request, static_cast<AttemptIndex>(n)}, terms.priority});
+    if (attempt.stage != Stage::in_flight || attempt.priority == limits.priority) continue;
+    attempt.priority = limits.priority;
+    emit(SetPriority{{limits.request, static_cast<AttemptIndex>(n)}, limits.priority});
   }
 }
 
-void Reducer::act(const heronwell::SetTimer& wake) { wheel_.arm(now_ + wake.delay, {Alarm::Kind::wake, {}}); }
+void Reducer::execute(const heronwell::SetTimer& timer) {
+  timers_.arm(now_ + timer.delay, {Timer::Kind::policy, {}});
+}
 
-void Reducer::act(const heronwell::Probe& probe) {
-  probes_[probe.engine].push_back(now_);
-  put(ProbeEngine{probe.engine});
+void Reducer::execute(const heronwell::Probe& probe) {
+  probes_sent_at_[probe.engine].push_back(now_);
+  emit(ProbeEngine{probe.engine});
 }
 
-void Reducer::act(heronwell::SendPeerMessage& tell) { put(SendToPeers{tell.to, std::move(tell.bytes)}); }
-void Reducer::act(heronwell::Trace& trace) { put(Log{std::move(trace.text)}); }
+void Reducer::execute(heronwell::SendPeerMessage& message) {
+  emit(SendToPeers{message.to, std::move(message.bytes)});
+}
+void Reducer::execute(heronwell::Trace& trace) { emit(Log{std::move(trace.text)}); }
 
-void Reducer::serve(Request& request, std::string body, std::string shape) {
-  settle(request, {request.asked.client, AnswerKind::served, {}, std::move(body), std::move(shape)});
+void Reducer::answer_served(Request& request, std::string body, std::string result_schema) {
+  complete_request(
+      request,
+      {request.client_request.client, AnswerKind::served, {}, std::move(body), std::move(result_schema)});
 }
 
-void Reducer::turn_down(Request& request, AnswerKind kind, Time pause, const char* reason) {
-  log_end(request, name(kind), reason);
-  settle(request, {request.asked.client, kind, pause, request.last_word, {}});
+void Reducer::reply_with_error(Request& request, AnswerKind kind, Time retry_after, const char* reason) {
+  log_outcome(request, name(kind), reason);
+  complete_request(request,
+                   {request.client_request.client, kind, retry_after, request.last_engine_error, {}});
 }
 
-void Reducer::settle(Request& request, Answer answer) {
+void Reducer::complete_request(Request& request, Answer answer) {
   request.answered = true;
-  by_client_.erase(request.asked.client);
-  --owed_;
-  put(std::move(answer));
+  request_by_client_.erase(request.client_request.client);
+  --unanswered_;
+  emit(std::move(answer));
 }
 
-void Reducer::log_end(const Request& request, const char* how, const char* reason) {
-  if (!line_budget_.take(now_)) return;
-  if (const auto left_out = line_budget_.take_left_out(); left_out > 0)
-    put(Log{std::to_string(left_out) + " lines on requests were left out"});
+void Reducer::log_outcome(const Request& request, const char* outcome, const char* reason) {
+  if (!log_limiter_.allow(now_)) return;
+  if (const auto suppressed = log_limiter_.take_suppressed(); suppressed > 0)
+    emit(Log{std::to_string(suppressed) + " log lines on requests suppressed"});
   const auto milliseconds = [](Time time) { return std::to_string(time / 1ms) + " ms"; };
-  const auto& asked = request.asked;
-  std::string text = "request " + asked.ticket + " " + settings_.classes[asked.class_index].name + " " + how +
-                     ": " + reason + "; after " + milliseconds(now_ - request.taken) + " of " +
-                     milliseconds(asked.timeout);
+  const auto& client_request = request.client_request;
+  std::string text = "request " + client_request.ticket + " " +
+                     settings_.classes[client_request.class_index].name + " " + outcome + ": " + reason +
+                     "; after " + milliseconds(now_ - request.accepted_at) + " of " +
+                     milliseconds(client_request.timeout);
   for (const auto& attempt : request.attempts) {
     text += "; engine " + std::to_string(attempt.engine) + " " + stage_name(attempt.stage);
-    if (attempt.end) text += std::string(" ") + name(*attempt.end);
-    text += " since " + milliseconds(now_ - attempt.begun);
+    if (attempt.outcome) text += std::string(" ") + name(*attempt.outcome);
+    text += " since " + milliseconds(now_ - attempt.started_at);
   }
-  put(Log{std::move(text)});
+  emit(Log{std::move(text)});
 }
 
-void Reducer::forget_if_done(RequestId id) {
+void Reducer::erase_if_done(RequestId id) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || !found->second.answered) return;
-  const auto over = [](const Attempt& attempt) { return attempt.stage == Stage::over; };
-  if (std::ranges::all_of(found->second.attempts, over)) {
-    auto& asked = found->second.asked;
-    held_bytes_ -= weight(asked);
-    if (!asked.ticket.empty()) answered_tickets_.emplace_back(now_, std::move(asked.ticket));
+  const auto ended = [](const Attempt& attempt) { return attempt.stage == Stage::ended; };
+  if (std::ranges::all_of(found->second.attempts, ended)) {
+    auto& client_request = found->second.client_request;
+    tracked_bytes_ -= memory_use(client_request);
+    if (!client_request.ticket.empty())
+      answered_tickets_.emplace_back(now_, std::move(client_request.ticket));
     requests_.erase(found);
   }
 }
 
-void Reducer::forget_tickets() {
-  while (!answered_tickets_.empty() && (answered_tickets_.front().first + kTicketUsed <= now_ ||
-                                        answered_tickets_.size() > kMostUsedTickets)) {
+void Reducer::expire_tickets() {
+  while (!answered_tickets_.empty() && (answered_tickets_.front().first + kTicketRetention <= now_ ||
+                                        answered_tickets_.size() > kMaxAnsweredTickets)) {
     tickets_.erase(answered_tickets_.front().second);
     answered_tickets_.pop_front();
   }
--- a/src/core/request_log.hpp
+++ b/src/core/request_log.hpp
@@ -1,4 +1,4 @@
-// Lines in the log for requests that were not served, a bounded number in each second.
+// Rate limit for the log lines on requests that were not served.
 #pragma once
 
 #include <cstddef>
@@ -8,30 +8,30 @@
 
 namespace bellstair::core {
 
-// Lets so many lines a second pass and counts the others.
-class LineBudget {
+// Allows a fixed number of log lines a second and counts the suppressed ones.
+class LogRateLimiter {
  public:
-  static constexpr std::size_t kLinesPerSecond = 20;
+  static constexpr std::size_t kMaxLinesPerSecond = 20;
 
-  // True: the line may be written. `now` is monotonic.
-  bool take(Time now) {
-    if (now >= since_ + std::chrono::seconds(1)) {
-      since_ = now;
+  // Returns whether a line may be written at monotonic time `now`, and counts it.
+  bool allow(Time now) {
+    if (now >= interval_start_ + std::chrono::seconds(1)) {
+      interval_start_ = now;
       lines_ = 0;
     }
-    if (lines_ >= kLinesPerSecond) {
-      ++left_out_;
+    if (lines_ >= kMaxLinesPerSecond) {
+      ++suppressed_;
       return false;
     }
     ++lines_;
     return true;
   }
-  // Lines that did not pass since this was last asked.
-  std::size_t take_left_out() { return std::exchange(left_out_, 0); }
+  // The number of lines suppressed since the last call.
+  std::size_t take_suppressed() { return std::exchange(suppressed_, 0); }
 
  private:
-  Time since_{};
-  std::size_t lines_ = 0, left_out_ = 0;
+  Time interval_start_{};
+  std::size_t lines_ = 0, suppressed_ = 0;
 };
 
 }  // namespace bellstair::core
--- a/src/core/start_clock.hpp
+++ b/src/core/start_clock.hpp
@@ -1,5 +1,5 @@
-// Translates the Unix times at which engines started to the monotonic clock, on a machine whose own wall
-// clock may be wrong.
+// Translates the Unix times at which engines started to the monotonic clock, on a machine whose wall clock
+// may be wrong.
 #pragma once
 
 #include <algorithm>
@@ -11,46 +11,49 @@
 
 namespace bellstair::core {
 
-// The difference between the two clocks is read once, at the program's start. It is corrected where starts
-// that the change log tells contradict it: no engine started after it was told of, and what the log tells
-// anew did not start long before the log was last known to have nothing newer. An error in doubt makes
-// engines seem to have started later than they did, so that they get less than they could take.
+// Keeps the offset between the two clocks. It is read once, when the program starts, and corrected when a
+// reported engine start contradicts it: an engine can't have started after its start was reported, and a
+// start that the change log reports as a new event can't lie long before the time at which the change log was
+// last known to have no newer event. Where the true offset remains uncertain, engines seem to have started
+// later than they did, and receive less load than they could take.
 class StartClock {
  public:
-  // Reports of a start may be so late.
-  static constexpr Time kMostReportDelay = std::chrono::seconds(10);
-  // A difference that makes the newest start known at the program's start older than this is not believed.
-  static constexpr Time kMostBelievedAge = std::chrono::minutes(2);
-
-  // `offset`: Unix time less monotonic time, by the machine's own clock.
-  explicit StartClock(Time offset) : machine_offset_(offset), offset_(offset) {}
-
-  // All times are zero or positive; `start` is Unix time.
-  [[nodiscard]] Time monotonic(Time start) const { return std::max(Time::zero(), start - offset_); }
-
-  // The change log has said that it has nothing newer.
-  void caught_up(Time now) { caught_up_ = now; }
-
-  // A start in the list as it was before the program began. True: the translation has changed.
-  bool known_at_start(Time now, Time start) {
-    newest_known_ = std::max(newest_known_, start);
-    const Time age = now + machine_offset_ - newest_known_;
-    const bool believed = age >= Time::zero() && age <= kMostBelievedAge;
-    return correct(believed ? machine_offset_ : newest_known_ - now);
+  // A start may be reported this long after it took place.
+  static constexpr Time kMaxReportDelay = std::chrono::seconds(10);
+  // If the system's offset makes the newest start of the initial membership older than this, that offset is
+  // not used.
+  static constexpr Time kMaxPlausibleAge = std::chrono::minutes(2);
+
+  // `offset`: Unix time minus monotonic time, by the system's clocks.
+  explicit StartClock(Time offset) : system_offset_(offset), offset_(offset) {}
+
+  // Translates Unix time `start`, which is not negative, to the monotonic clock. Not negative either.
+  [[nodiscard]] Time to_monotonic(Time start) const { return std::max(Time::zero(), start - offset_); }
+
+  // The change log has reported at monotonic time `now` that it has no newer event.
+  void set_caught_up(Time now) { caught_up_at_ = now; }
+
+  // A start (Unix time) in the membership from before the program started. Returns whether the translation
+  // has changed.
+  bool observe_initial(Time now, Time start) {
+    newest_initial_start_ = std::max(newest_initial_start_, start);
+    const Time age = now + system_offset_ - newest_initial_start_;
+    const bool plausible = age >= Time::zero() && age <= kMaxPlausibleAge;
+    return set_offset(plausible ? system_offset_ : newest_initial_start_ - now);
   }
 
-  // A start that the change log has told just now. True: the translation has changed.
-  bool told(Time now, Time start) {
+  // A start (Unix time) that the change log has just reported. Returns whether the translation has changed.
+  bool observe_live(Time now, Time start) {
     const Time translated = start - offset_;
-    const bool too_old = caught_up_ && translated + kMostReportDelay < *caught_up_;
-    return translated > now || too_old ? correct(start - now) : false;
+    const bool too_old = caught_up_at_ && translated + kMaxReportDelay < *caught_up_at_;
+    return translated > now || too_old ? set_offset(start - now) : false;
   }
 
  private:
-  bool correct(Time offset) { return std::exchange(offset_, offset) != offset; }
+  bool set_offset(Time offset) { return std::exchange(offset_, offset) != offset; }
 
-  Time machine_offset_, offset_, newest_known_{};
-  std::optional<Time> caught_up_;
+  Time system_offset_, offset_, newest_initial_start_{};
+  std::optional<Time> caught_up_at_;  // none: the change log has not been read to its end yet
 };
 
 }  // namespace bellstair::core
--- a/tests/start_clock_test.cpp
+++ b/tests/start_clock_test.cpp
@@ -1,4 +1,4 @@
-// When engines started, as a machine with a wrong wall clock makes it out.
+// Tests of StartClock: engine starts as seen by a machine whose wall clock may be wrong.
 #include "core/start_clock.hpp"
 
 #include <gtest/gtest.h>
@@ -9,56 +9,57 @@
 namespace {
 using namespace std::chrono_literals;
 
-constexpr Time kOffset = 1'000'000h;  // of Unix time, by a right clock
+constexpr Time kCorrectOffset = 1'000'000h;  // Unix time minus monotonic time, by a correct clock
 constexpr Time kNow = 500h;
-constexpr Time kUnixNow = kNow + kOffset;
-constexpr Time kRunTime = 400ms;  // of a query
+constexpr Time kUnixNow = kNow + kCorrectOffset;
+constexpr Time kRunTime = 400ms;  // of each query
 
-TEST(StartClock, ARightClockIsBelieved) {
-  StartClock clock(kOffset);
-  EXPECT_FALSE(clock.known_at_start(kNow, kUnixNow - 30s));
-  EXPECT_EQ(clock.monotonic(kUnixNow - 30s), kNow - 30s);
-  clock.caught_up(kNow + 5s);
-  EXPECT_FALSE(clock.told(kNow + 9s, kUnixNow + 3s));  // reported a little late
-  EXPECT_EQ(clock.monotonic(kUnixNow + 3s), kNow + 3s);
+TEST(StartClock, CorrectClockIsTrusted) {
+  StartClock clock(kCorrectOffset);
+  EXPECT_FALSE(clock.observe_initial(kNow, kUnixNow - 30s));
+  EXPECT_EQ(clock.to_monotonic(kUnixNow - 30s), kNow - 30s);
+  clock.set_caught_up(kNow + 5s);
+  EXPECT_FALSE(clock.observe_live(kNow + 9s, kUnixNow + 3s));  // reported shortly afterwards
+  EXPECT_EQ(clock.to_monotonic(kUnixNow + 3s), kNow + 3s);
 }
 
-TEST(StartClock, OnAClockThatIsAheadAFreshStartIsNotTakenForAnOldOne) {
-  StartClock clock(kOffset + 1h);
-  EXPECT_TRUE(clock.known_at_start(kNow, kUnixNow - 2s));
-  EXPECT_EQ(clock.monotonic(kUnixNow - 2s), kNow);
-  EXPECT_EQ(clock.monotonic(kUnixNow - 12s), kNow - 10s);
+TEST(StartClock, FastClockDoesNotMakeARecentInitialStartSeemOld) {
+  StartClock clock(kCorrectOffset + 1h);
+  EXPECT_TRUE(clock.observe_initial(kNow, kUnixNow - 2s));
+  EXPECT_EQ(clock.to_monotonic(kUnixNow - 2s), kNow);
+  EXPECT_EQ(clock.to_monotonic(kUnixNow - 12s), kNow - 10s);
 }
 
-TEST(StartClock, OnAClockThatIsAheadAStartToldLiveIsNotTakenForAnOldOne) {
-  StartClock clock(kOffset + 1h);
-  clock.caught_up(kNow - 1s);
-  EXPECT_TRUE(clock.told(kNow, kUnixNow - 200ms));
-  EXPECT_EQ(clock.monotonic(kUnixNow - 200ms), kNow);
+TEST(StartClock, FastClockDoesNotMakeALiveStartSeemOld) {
+  StartClock clock(kCorrectOffset + 1h);
+  clock.set_caught_up(kNow - 1s);
+  EXPECT_TRUE(clock.observe_live(kNow, kUnixNow - 200ms));
+  EXPECT_EQ(clock.to_monotonic(kUnixNow - 200ms), kNow);
 }
 
-TEST(StartClock, OnAClockThatIsBehindNoStartLiesAhead) {
-  StartClock known(kOffset - 1h);
-  EXPECT_TRUE(known.known_at_start(kNow, kUnixNow - 2s));
-  EXPECT_EQ(known.monotonic(kUnixNow - 2s), kNow);
-  StartClock live(kOffset - 1h);
-  EXPECT_TRUE(live.told(kNow, kUnixNow - 200ms));
-  EXPECT_EQ(live.monotonic(kUnixNow - 200ms), kNow);
+TEST(StartClock, SlowClockDoesNotPlaceStartsInTheFuture) {
+  StartClock initial(kCorrectOffset - 1h);
+  EXPECT_TRUE(initial.observe_initial(kNow, kUnixNow - 2s));
+  EXPECT_EQ(initial.to_monotonic(kUnixNow - 2s), kNow);
+  StartClock live(kCorrectOffset - 1h);
+  EXPECT_TRUE(live.observe_live(kNow, kUnixNow - 200ms));
+  EXPECT_EQ(live.to_monotonic(kUnixNow - 200ms), kNow);
 }
 
-TEST(StartClock, TheNewestOfTheKnownStartsDecides) {
-  StartClock clock(kOffset);
-  EXPECT_TRUE(clock.known_at_start(kNow, kUnixNow - 10min));
-  EXPECT_TRUE(clock.known_at_start(kNow, kUnixNow - 10s));  // plausible after all
-  EXPECT_EQ(clock.monotonic(kUnixNow - 10s), kNow - 10s);
-  EXPECT_FALSE(clock.known_at_start(kNow, kUnixNow - 20s));
+TEST(StartClock, NewestInitialStartDecides) {
+  StartClock clock(kCorrectOffset);
+  EXPECT_TRUE(clock.observe_initial(kNow, kUnixNow - 10min));
+  EXPECT_TRUE(clock.observe_initial(kNow, kUnixNow - 10s));  // plausible now
+  EXPECT_EQ(clock.to_monotonic(kUnixNow - 10s), kNow - 10s);
+  EXPECT_FALSE(clock.observe_initial(kNow, kUnixNow - 20s));
 }
 
-// The program with a clock that is an hour wrong: a burst meets an engine that has just started.
-class ColdEngineByAWrongClock : public ::testing::TestWithParam<Time> {};
+// Sends a burst to an engine that has just started while the wall clock is an hour wrong: the engine must get
+// no more queries than with a correct clock.
+class SlowStartWithWrongClock : public ::testing::TestWithParam<Time> {};
 
-TEST_P(ColdEngineByAWrongClock, GetsNoMoreThanByARightOne) {
-  const auto sent_by = [](Time offset) {
+TEST_P(SlowStartWithWrongClock, EngineGetsNoMoreQueriesThanWithCorrectClock) {
+  const auto queries_sent = [](Time offset) {
     heronwell::Settings settings;
     settings.kinds = {{"std-8", 8, 16384}};
     heronwell::ClassSettings lookup;
@@ -71,41 +72,41 @@
     settings.overload_multiple = 2.5;
     settings.overload_window = 2s;
     Reducer reducer(settings, 1, std::size_t{1} << 20, offset);
-    Member cold;
-    cold.entry.engine = 7;
-    cold.entry.last_start = kUnixNow;
-    cold.address = "127.0.0.1:1";
+    Member started_engine;
+    started_engine.entry.engine = 7;
+    started_engine.entry.last_start = kUnixNow;
+    started_engine.address = "127.0.0.1:1";
     Effects effects;
-    reducer.reduce(kNow, MembershipChange{true, {cold}, false}, effects);
+    reducer.reduce(kNow, MembershipChange{true, {started_engine}, false}, effects);
     std::vector<std::pair<Time, AttemptId>> running;
     ClientHandle client = 0;
     for (Time now = kNow; now < kNow + 2s; now += Reducer::kTick) {
-      ClientRequest asked;
-      asked.client = ++client;
-      asked.timeout = 5s;
+      ClientRequest request;
+      request.client = ++client;
+      request.timeout = 5s;
       effects.clear();
-      reducer.reduce(now, RequestArrived{asked}, effects);
+      reducer.reduce(now, RequestArrived{request}, effects);
       reducer.reduce(now, Tick{}, effects);
-      Effects unused;
+      Effects ignored_effects;
       for (const auto& effect : effects) {
         const auto* start = std::get_if<StartAttempt>(&effect);
         if (start == nullptr) continue;
         running.emplace_back(now, start->id);
-        reducer.reduce(now, AttemptReady{start->id}, unused);
+        reducer.reduce(now, AttemptReady{start->id}, ignored_effects);
       }
       for (const auto& [since, id] : running) {
         AttemptEnded ended;
         ended.id = id;
         ended.outcome = AttemptOutcome::served;
-        if (now - since == kRunTime) reducer.reduce(now, ended, unused);
+        if (now - since == kRunTime) reducer.reduce(now, ended, ignored_effects);
       }
     }
     return running.size();
   };
-  EXPECT_LE(sent_by(kOffset + GetParam()), sent_by(kOffset));
+  EXPECT_LE(queries_sent(kCorrectOffset + GetParam()), queries_sent(kCorrectOffset));
 }
 
-INSTANTIATE_TEST_SUITE_P(AheadAndBehind, ColdEngineByAWrongClock, ::testing::Values(1h, -1h));
+INSTANTIATE_TEST_SUITE_P(FastAndSlow, SlowStartWithWrongClock, ::testing::Values(1h, -1h));
 
 }  // namespace
 }  // namespace bellstair::core
