--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -86,7 +86,7 @@
                                              event_sink());
 }
 
-// Always false before draining: it is only used to decide when the program can exit.
+// Always false before draining, since it only decides when the program can exit.
 bool Broker::output_pending() const {
   if (reducer_.lifecycle().phase() < core::Phase::draining) return false;
   return platform_front_->unwritten() || (mysql_front_ && mysql_front_->unwritten());
--- a/src/app/broker.hpp
+++ b/src/app/broker.hpp
@@ -25,6 +25,7 @@
   using std::runtime_error::runtime_error;
 };
 
+// One broker with all of its components, on one event loop and one thread.
 class Broker {
  public:
   // Listens on all configured addresses. `file`: the configuration file, read again on SIGHUP. Throws
@@ -36,18 +37,24 @@
  private:
   // Queues an event for the reducer.
   void post(core::Event event);
+  // Callbacks of the loop.
   void on_tick(ev::timer& timer, int events);
   void on_policy_timer(ev::timer& timer, int events);
   void on_prepare(ev::prepare& prepare, int events);
   void on_check(ev::check& check, int events);
   void log_wall_clock_jumps();
   void on_reload(ev::timer& timer, int events);
+  // Reads the configuration again and posts the result, or schedules a retry. `report_error`: post an error
+  // too.
   void read_configuration(bool report_error);
+  // Passes all queued events to the reducer and executes the effects.
   void process_events();
   // Runs the admission plug-in on the request. Errors of the plug-in are logged.
   void apply_admission(core::ClientRequest& request);
+  // A function that calls post().
   [[nodiscard]] net::Post event_sink();
   [[nodiscard]] std::unique_ptr<net::EngineDriver> make_engine_driver();
+  // Whether a front still has output to write.
   [[nodiscard]] bool output_pending() const;
 
   void execute(const core::Answer& effect);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -27,15 +27,18 @@
     "none)\n"
     "  -h, --help          print this text\n";
 
+// The parsed command line. `config` and `fronts` are file names; empty: none.
 struct Options {
   std::string command, config, fronts;
 };
 
-[[noreturn]] void usage_error(const std::string& what) {
-  std::fprintf(stderr, "bellstair: %s; see 'bellstair --help'\n", what.c_str());
+// Prints the error and exits with status 2.
+[[noreturn]] void usage_error(const std::string& message) {
+  std::fprintf(stderr, "bellstair: %s; see 'bellstair --help'\n", message.c_str());
   std::exit(2);
 }
 
+// Exits the program on --help and on errors.
 Options parse_options(int argc, char** argv) {
   Options out;
   if (const char* config = std::getenv("BALANCER_CONFIG")) out.config = config;
