--- a/src/core/wheel.hpp
+++ b/src/core/wheel.hpp
@@ -20,8 +20,8 @@
   // `tick`: the resolution; greater than 0.
   explicit TimerWheel(Time tick) : tick_(tick) {}
 
-  // The timer fires in an advance() to `at` or later, never before `at` and at most one tick after it. A
-  // timer for the past fires at the next tick.
+  // The timer fires in the first advance() that reaches `at`, rounded up to a whole tick, and never earlier.
+  // A timer for the past fires at the next tick.
   void arm(Time at, Key key) {
     const auto due =
         std::max(at.count() / tick_.count() + (at.count() % tick_.count() != 0 ? 1 : 0), next_tick_);
