--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -9,15 +9,17 @@
 
 namespace bellstair::net {
 namespace {
-const sockaddr* any(const sockaddr_in& address) { return reinterpret_cast<const sockaddr*>(&address); }
+const sockaddr* as_sockaddr(const sockaddr_in& address) {
+  return reinterpret_cast<const sockaddr*>(&address);
+}
 
-void set(int fd, int level, int option) {
-  const int on = 1;
-  ::setsockopt(fd, level, option, &on, sizeof on);
+void enable_option(int fd, int level, int option) {
+  const int enabled = 1;
+  ::setsockopt(fd, level, option, &enabled, sizeof enabled);
 }
 
-// Closes it; errno stays as the call that failed has set it.
-Fd failed(Fd& fd) {
+// Closes the descriptor and leaves errno as the failed call has set it; returns an empty Fd.
+Fd close_keeping_errno(Fd& fd) {
   const int error = errno;
   fd.reset();
   errno = error;
@@ -28,48 +30,50 @@
 std::optional<sockaddr_in> parse_address(std::string_view text) {
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
-  sockaddr_in out{};
-  out.sin_family = AF_INET;
+  sockaddr_in result{};
+  result.sin_family = AF_INET;
   const std::string host(text.substr(0, colon));
   const auto digits = text.substr(colon + 1);
   std::uint16_t port = 0;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
   if (error != std::errc() || digits.empty() || end != digits.data() + digits.size()) return std::nullopt;
-  if (::inet_pton(AF_INET, host.c_str(), &out.sin_addr) != 1) return std::nullopt;
-  out.sin_port = htons(port);
-  return out;
+  if (::inet_pton(AF_INET, host.c_str(), &result.sin_addr) != 1) return std::nullopt;
+  result.sin_port = htons(port);
+  return result;
 }
 
-Fd listen_tcp(const sockaddr_in& at) {
+Fd listen_tcp(const sockaddr_in& address) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) return fd;
-  set(fd.get(), SOL_SOCKET, SO_REUSEADDR);
-  if (::bind(fd.get(), any(at), sizeof at) != 0 || ::listen(fd.get(), 512) != 0) return failed(fd);
+  enable_option(fd.get(), SOL_SOCKET, SO_REUSEADDR);
+  if (::bind(fd.get(), as_sockaddr(address), sizeof address) != 0 || ::listen(fd.get(), 512) != 0)
+    return close_keeping_errno(fd);
   return fd;
 }
 
 std::string local_address(int fd) {
-  sockaddr_in at{};
-  socklen_t size = sizeof at;
-  ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
+  sockaddr_in address{};
+  socklen_t size = sizeof address;
+  ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
   char host[INET_ADDRSTRLEN] = "";
-  ::inet_ntop(AF_INET, &at.sin_addr, host, sizeof host);
-  return std::string(host) + ":" + std::to_string(ntohs(at.sin_port));
+  ::inet_ntop(AF_INET, &address.sin_addr, host, sizeof host);
+  return std::string(host) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-Fd bind_udp(const sockaddr_in& at) {
+Fd bind_udp(const sockaddr_in& address) {
   Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (fd && ::bind(fd.get(), any(at), sizeof at) != 0) return {};
+  if (fd && ::bind(fd.get(), as_sockaddr(address), sizeof address) != 0) return {};
   return fd;
 }
 
-Fd begin_connect(const sockaddr_in& to) {
+Fd begin_connect(const sockaddr_in& address) {
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) return fd;
-  set(fd.get(), IPPROTO_TCP, TCP_NODELAY);
-  // Interrupted, it goes on in the background all the same.
-  if (::connect(fd.get(), any(to), sizeof to) != 0 && errno != EINPROGRESS && errno != EINTR)
-    return failed(fd);
+  enable_option(fd.get(), IPPROTO_TCP, TCP_NODELAY);
+  // An interrupted connect goes on in the background like one in progress.
+  if (::connect(fd.get(), as_sockaddr(address), sizeof address) != 0 && errno != EINPROGRESS &&
+      errno != EINTR)
+    return close_keeping_errno(fd);
   return fd;
 }
 
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -1,4 +1,4 @@
-// Addresses and file descriptors.
+// IPv4 addresses, file descriptors and non-blocking sockets.
 #pragma once
 
 #include <netinet/in.h>
@@ -11,9 +11,10 @@
 
 namespace bellstair::net {
 
-// "10.0.0.4:8080"; there are no names to look up here.
+// Parses an address such as "10.0.0.4:8080"; nullopt if it is malformed. Host names are not resolved.
 [[nodiscard]] std::optional<sockaddr_in> parse_address(std::string_view text);
 
+// Owns a file descriptor.
 class Fd {
  public:
   Fd() = default;
@@ -27,9 +28,11 @@
     }
     return *this;
   }
+  // Closes the descriptor, if there is one.
   void reset() {
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
+  // The descriptor, or -1.
   [[nodiscard]] int get() const { return fd_; }
   [[nodiscard]] explicit operator bool() const { return fd_ >= 0; }
 
@@ -37,17 +40,27 @@
   int fd_ = -1;
 };
 
-// All of these give non-blocking sockets; an empty Fd where the system says no (errno tells why).
-[[nodiscard]] Fd listen_tcp(const sockaddr_in& at);
+// The functions that return an Fd open non-blocking sockets; on an error they return
+// an empty Fd and leave errno set.
+
+// A TCP socket that listens on the address.
+[[nodiscard]] Fd listen_tcp(const sockaddr_in& address);
+// The address that a socket is bound to, as "10.0.0.4:8080".
 [[nodiscard]] std::string local_address(int fd);
-[[nodiscard]] Fd bind_udp(const sockaddr_in& at);
-[[nodiscard]] Fd begin_connect(const sockaddr_in& to);  // done once it is writable, see connect_error()
-// Errors of system calls. Out of descriptors, here or in the whole system:
+// A UDP socket bound to the address.
+[[nodiscard]] Fd bind_udp(const sockaddr_in& address);
+// A TCP socket that is connecting to the address. The outcome is known once it is
+// writable, see connect_error().
+[[nodiscard]] Fd begin_connect(const sockaddr_in& address);
+
+// True if the errno value means that the process or the system is out of file descriptors.
 [[nodiscard]] bool out_of_descriptors(int error);
-// This machine lacks something for now (descriptors, ports, memory): tells nothing of the peer.
+// True if the errno value means a temporary shortage of a local resource (descriptors, ports, memory), which
+// implies nothing about the peer.
 [[nodiscard]] bool local_shortage(int error);
-// The call may succeed when it is made again on the same connection.
+// True if the call may succeed when it is repeated on the same connection.
 [[nodiscard]] bool transient(int error);
-[[nodiscard]] int connect_error(int fd);  // 0: connected
+// The errno value that a connect ended with; 0 if the socket is connected.
+[[nodiscard]] int connect_error(int fd);
 
 }  // namespace bellstair::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -9,18 +9,19 @@
 
 namespace bellstair::net {
 namespace {
-constexpr double kAcceptPause = 0.05;  // s
+// How long a listener that cannot accept waits before it tries again.
+constexpr double kAcceptPauseSeconds = 0.05;
 }  // namespace
 
 Stream::Stream(ev::loop_ref loop, Fd fd, bool connecting, std::size_t max_unsent_bytes)
     : io_(loop), fd_(std::move(fd)), connecting_(connecting), max_unsent_bytes_(max_unsent_bytes) {
   io_.set<Stream, &Stream::on_io>(this);
-  if (fd_) watch();
+  if (fd_) update_watcher();
 }
 
-void Stream::watch() {
+void Stream::update_watcher() {
   int events = 0;
-  if (!connecting_ && !paused_ && !ended_ && !failed_) events |= ev::READ;
+  if (!connecting_ && !paused_ && !input_ended_ && !failed_) events |= ev::READ;
   if (connecting_ || unsent_bytes() > 0 || failed_) events |= ev::WRITE;
   if (events == 0) {
     io_.stop();
@@ -31,10 +32,10 @@
   }
 }
 
-// The loop could not change what it watches for, and has stopped. libev takes the kernel to know the events
-// that it last asked for, and does not ask for the same ones again: so it is made to ask for others, among
-// them one that soon comes and leads to watch().
-void Stream::watch_again() {
+// libev could not change the events that the kernel watches, and has stopped the watcher. It assumes that the
+// kernel knows the events last requested and does not request the same ones again, so a different set is
+// requested here. That set contains an event that soon occurs and leads to update_watcher().
+void Stream::restart_watcher() {
   io_.start(fd_.get(), io_.events == ev::WRITE ? ev::READ | ev::WRITE : ev::WRITE);
 }
 
@@ -43,8 +44,8 @@
   if (unsent_bytes() == 0 && !connecting_) {
     const auto sent = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (sent < 0 && !transient(errno)) {
-      failed_ = true;  // told from the loop, since the caller is in the middle of something
-      watch();
+      failed_ = true;  // reported from the event loop: the caller may not expect a callback now
+      update_watcher();
       return false;
     }
     if (sent > 0) {
@@ -55,11 +56,11 @@
   if (bytes.empty()) return true;
   if (unsent_bytes() + bytes.size() > max_unsent_bytes_) {
     failed_ = true;
-    watch();
+    update_watcher();
     return false;
   }
-  out_.append(bytes);
-  watch();
+  output_.append(bytes);
+  update_watcher();
   return true;
 }
 
@@ -71,39 +72,39 @@
 }
 
 void Stream::abort() {
-  const linger at_once{1, 0};
-  if (fd_) ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  const linger reset_on_close{1, 0};
+  if (fd_) ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
   close();
 }
 
 void Stream::shut_down_write() {
-  finishing_ = true;
+  write_closing_ = true;
   if (fd_ && unsent_bytes() == 0) ::shutdown(fd_.get(), SHUT_WR);
 }
 
-void Stream::pause_reading(bool on) {
-  paused_ = on;
-  if (fd_) watch();
+void Stream::pause_reading(bool paused) {
+  paused_ = paused;
+  if (fd_) update_watcher();
 }
 
 bool Stream::closed_by_peer() const {
   char byte = 0;
-  const auto got = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got >= 0 || !transient(errno);
+  const auto received = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received >= 0 || !transient(errno);
 }
 
 void Stream::fail() {
   io_.stop();
   fd_.reset();
   if (handlers_.closed) {
-    const auto closed = handlers_.closed;  // it may destroy this stream
+    const auto closed = handlers_.closed;  // a copy: the handler may destroy this stream
     closed();
   }
 }
 
 void Stream::on_io(ev::io&, int events) {
   if (failed_) return fail();
-  if ((events & ev::ERROR) != 0) return watch_again();
+  if ((events & ev::ERROR) != 0) return restart_watcher();
   if (connecting_) {
     if (const int error = connect_error(fd_.get()); error != 0) {
       reset_before_connected_ = error == ECONNRESET;
@@ -111,7 +112,7 @@
     }
     connecting_ = false;
     const auto alive = alive_;
-    watch();
+    update_watcher();
     if (handlers_.connected) handlers_.connected();
     if (!*alive) return;
     if (unsent_bytes() > 0) flush();
@@ -124,68 +125,68 @@
 }
 
 void Stream::read() {
-  static std::array<char, std::size_t{64} * 1024> buffer;  // one loop, one thread
-  const auto got = ::recv(fd_.get(), buffer.data(), buffer.size(), 0);
-  if (got > 0) {
-    if (handlers_.data) handlers_.data({buffer.data(), static_cast<std::size_t>(got)});
+  static std::array<char, std::size_t{64} * 1024> buffer;  // shared: there is one event loop on one thread
+  const auto received = ::recv(fd_.get(), buffer.data(), buffer.size(), 0);
+  if (received > 0) {
+    if (handlers_.data) handlers_.data({buffer.data(), static_cast<std::size_t>(received)});
     return;
   }
-  if (got < 0 && transient(errno)) return;
-  if (got < 0) return fail();
-  ended_ = true;
-  watch();
+  if (received < 0 && transient(errno)) return;
+  if (received < 0) return fail();
+  input_ended_ = true;
+  update_watcher();
   if (handlers_.end_of_input) handlers_.end_of_input();
 }
 
 void Stream::flush() {
   while (unsent_bytes() > 0) {
-    const auto sent = ::send(fd_.get(), out_.data() + out_at_, unsent_bytes(), MSG_NOSIGNAL);
+    const auto sent = ::send(fd_.get(), output_.data() + output_offset_, unsent_bytes(), MSG_NOSIGNAL);
     if (sent < 0) {
       if (transient(errno)) break;
       return fail();
     }
-    out_at_ += static_cast<std::size_t>(sent);
+    output_offset_ += static_cast<std::size_t>(sent);
     sent_bytes_ += static_cast<std::size_t>(sent);
   }
   if (unsent_bytes() == 0) {
-    if (finishing_) ::shutdown(fd_.get(), SHUT_WR);
-    out_.clear();
-    out_at_ = 0;
-    if (out_.capacity() > std::size_t{16} * 1024) out_.shrink_to_fit();
+    if (write_closing_) ::shutdown(fd_.get(), SHUT_WR);
+    output_.clear();
+    output_offset_ = 0;
+    if (output_.capacity() > std::size_t{16} * 1024) output_.shrink_to_fit();
   }
-  watch();
+  update_watcher();
   if (unsent_bytes() == 0 && handlers_.drained) handlers_.drained();
 }
 
 Listener::Listener(ev::loop_ref loop, Fd fd, std::function<void(Fd)> accepted)
     : io_(loop), resume_(loop), fd_(std::move(fd)), accepted_(std::move(accepted)) {
-  keep_reserve();
+  open_reserve();
   resume_.set<Listener, &Listener::on_resume>(this);
   io_.set<Listener, &Listener::on_io>(this);
   io_.start(fd_.get(), ev::READ);
 }
 
-void Listener::keep_reserve() { reserve_ = Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
+void Listener::open_reserve() { reserve_ = Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
 
 void Listener::pause() {
   io_.stop();
-  resume_.start(kAcceptPause, 0);
+  resume_.start(kAcceptPauseSeconds, 0);
 }
 
 void Listener::on_resume(ev::timer&, int) {
-  if (!reserve_) keep_reserve();
+  if (!reserve_) open_reserve();
   io_.start(fd_.get(), ev::READ);
 }
 
 void Listener::on_io(ev::io&, int events) {
-  if ((events & ev::ERROR) != 0) return pause();  // the loop could not watch it
+  if ((events & ev::ERROR) != 0) return pause();  // libev could not watch the descriptor
   for (int i = 0; i < 64; ++i) {
     Fd fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd && (errno == EMFILE || errno == ENFILE) && reserve_) {
       reserve_.reset();
-      const bool came = static_cast<bool>(Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
-      keep_reserve();
-      if (came) continue;
+      const bool was_pending = static_cast<bool>(Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
+      open_reserve();
+      if (was_pending) continue;
       return;
     }
     if (!fd && errno != EAGAIN && errno != EINTR && errno != ECONNABORTED) pause();
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,4 +1,4 @@
-// One TCP connection on the loop: bounded buffers, no blocking. What the bytes mean is its owner's business.
+// Non-blocking TCP on the event loop: streams with a bounded output buffer, and a listener.
 #pragma once
 
 #include <ev++.h>
@@ -13,40 +13,47 @@
 
 namespace bellstair::net {
 
+// One TCP connection. The content of the byte stream is up to its owner.
 class Stream {
  public:
+  // Callbacks, all invoked from the event loop. Any of them may be empty.
   struct Handlers {
-    std::function<void()> connected;             // for streams that dial
-    std::function<void(std::string_view)> data;  // whatever has come
-    std::function<void()> end_of_input;          // the peer writes no more; reading is over
-    std::function<void()> closed;                // broken, or never connected
-    std::function<void()> drained;               // all that was written has left; may be empty
+    std::function<void()> connected;             // an outgoing connection has been established
+    std::function<void(std::string_view)> data;  // bytes were received; valid during the call only
+    std::function<void()> end_of_input;          // the peer has closed its sending side
+    std::function<void()> closed;                // the connection failed, or could not be established
+    std::function<void()> drained;               // the output buffer has become empty
   };
 
+  // `connecting`: the connection is still being established, see begin_connect(). `max_unsent_bytes`:
+  // capacity of the output buffer.
   Stream(ev::loop_ref loop, Fd fd, bool connecting, std::size_t max_unsent_bytes);
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
   void set_handlers(Handlers handlers) { handlers_ = std::move(handlers); }
-  // False: it is broken or its peer does not read; `closed` follows from the loop, never from within.
+  // Sends or buffers the bytes. Returns false if the connection has failed or the output buffer would exceed
+  // its capacity; the `closed` handler then follows from the event loop, never from within this call.
   bool write(std::string_view bytes);
-  // No handler is called any more; the descriptor is closed at once. Safe from within a handler.
+  // Closes the descriptor at once; no handler is called any more. Safe to call from within a handler.
   void close();
-  // As close(), and what the peer has not got by now it never gets: a machine that was cut off may come back,
-  // and the system would go on sending for it.
+  // Like close(), but resets the connection and drops its unsent data. Without that the kernel would go on
+  // sending it to a machine that was unreachable and comes back.
   void abort();
-  void pause_reading(bool on);  // stops or resumes reading
-  // Nothing is written any more; once all has left, the peer is told so. Reading goes on: to close with input
-  // unread would reset the connection, and take from the peer what it has not read yet.
+  // Stops (true) or resumes (false) reading.
+  void pause_reading(bool paused);
+  // Closes the sending side once the output buffer is empty. Reading goes on: closing a socket with unread
+  // input would reset the connection, and the peer would lose what it has not read yet.
   void shut_down_write();
 
   [[nodiscard]] bool open() const { return static_cast<bool>(fd_); }
   [[nodiscard]] bool connecting() const { return connecting_; }
-  // Dialling failed though the peer had let the connection in: it was broken off before its first use.
+  // The peer accepted the connection and reset it before this side saw it established.
   [[nodiscard]] bool reset_before_connected() const { return reset_before_connected_; }
-  [[nodiscard]] std::size_t unsent_bytes() const { return out_.size() - out_at_; }
-  [[nodiscard]] std::size_t sent_bytes() const { return sent_bytes_; }  // bytes that the system has taken
-  // For a stream at rest: true if the peer has closed it, or said something unasked.
+  [[nodiscard]] std::size_t unsent_bytes() const { return output_.size() - output_offset_; }
+  // Bytes passed to the kernel since the connection was opened.
+  [[nodiscard]] std::size_t sent_bytes() const { return sent_bytes_; }
+  // For an idle stream: true if the peer has closed it, or has sent data that was not asked for.
   [[nodiscard]] bool closed_by_peer() const;
 
  private:
@@ -57,28 +64,30 @@
 
   ev::io io_;
   Fd fd_;
-  bool connecting_, paused_ = false, ended_ = false, failed_ = false, finishing_ = false,
+  bool connecting_, paused_ = false, input_ended_ = false, failed_ = false, write_closing_ = false,
                     reset_before_connected_ = false;
   std::size_t max_unsent_bytes_;
-  std::string out_;
-  std::size_t out_at_ = 0, sent_bytes_ = 0;
+  std::string output_;
+  std::size_t output_offset_ = 0, sent_bytes_ = 0;
   Handlers handlers_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // set to false by close()
 
-  void watch();
-  void watch_again();
+  void update_watcher();
+  void restart_watcher();
 };
 
-// Accepts connections. Out of descriptors it turns away what comes, by way of one kept in reserve: left
-// waiting, the connection would wake the loop again and again. Where that can't be had either, it pauses.
+// Accepts connections. When the process is out of descriptors, it frees a reserved one to accept and close
+// the pending connection, which would otherwise wake the event loop again and again. If the reserved
+// descriptor is not available either, it pauses accepting.
 class Listener {
  public:
+  // `accepted` is called with each new connection, which is non-blocking and has TCP_NODELAY set.
   Listener(ev::loop_ref loop, Fd fd, std::function<void(Fd)> accepted);
 
  private:
   void on_io(ev::io& watcher, int events);
   void on_resume(ev::timer& timer, int events);
-  void keep_reserve();
+  void open_reserve();
   void pause();
   ev::io io_;
   ev::timer resume_;
--- a/src/platform/changelog.cpp
+++ b/src/platform/changelog.cpp
@@ -9,10 +9,10 @@
 namespace bellstair::platform {
 
 ChangeLog::ChangeLog(ev::loop_ref loop, std::string address, const config::NameIndex& names,
-                     std::uint64_t since, net::EventSink post)
-    : loop_(loop), address_(std::move(address)), names_(names), since_(since), post_(std::move(post)) {}
+                     std::uint64_t last_seq, net::EventSink emit)
+    : loop_(loop), address_(std::move(address)), names_(names), last_seq_(last_seq), emit_(std::move(emit)) {}
 
-// The numbers carry on there. An answer that has not come whole by now is asked for again.
+// Event numbers continue at the new address. A response that is not complete by now is requested again.
 void ChangeLog::set_address(const std::string& address) {
   if (address == address_) return;
   address_ = address;
@@ -23,112 +23,116 @@
 
 void ChangeLog::tick(core::Time now) {
   now_ = now;
-  gone_.clear();
+  closed_.clear();
   if (now < due_) return;
   switch (stage_) {
-    case Stage::apart:
-      return dial();
+    case Stage::disconnected:
+      return connect();
     case Stage::idle:
-      return ask();
-    case Stage::dialling:
-      return lost("no connection");
-    case Stage::asking:
-      return lost("silence");
+      return poll();
+    case Stage::connecting:
+      return on_failure("connect timed out");
+    case Stage::polling:
+      return on_failure("no response in time");
   }
 }
 
-void ChangeLog::dial() {
+void ChangeLog::connect() {
   const auto at = net::parse_address(address_);
   auto fd = at ? net::begin_connect(*at) : net::Fd();
-  if (!fd) return lost("no connection");
-  stage_ = Stage::dialling;
+  if (!fd) return on_failure("could not connect");
+  stage_ = Stage::connecting;
   due_ = now_ + kConnectTimeout;
   stream_ = std::make_unique<net::Stream>(loop_, std::move(fd), true, std::size_t{4} * 1024);
   stream_->set_handlers({
-      .connected = [this] { ask(); },
+      .connected = [this] { poll(); },
       .data = [this](std::string_view bytes) { on_data(bytes); },
-      .end_of_input = [this] { reader_.finish() ? answered() : lost("it has closed"); },
-      .closed = [this] { lost(stage_ == Stage::dialling ? "no connection" : "it has broken off"); },
+      .end_of_input =
+          [this] {
+            parser_.finish() ? on_response() : on_failure("connection closed before a complete response");
+          },
+      .closed =
+          [this] { on_failure(stage_ == Stage::connecting ? "could not connect" : "connection failed"); },
       .drained = {},
   });
 }
 
-// Until it has been told that there is no more, a call does not wait: so at the start and after a loss it is
-// known at once whether there is news.
-void ChangeLog::ask() {
-  reader_.expect();
-  stage_ = Stage::asking;
+// Until a response has reported that there are no more events, a request does not wait for new ones: at the
+// start and after a failure, pending events arrive at once.
+void ChangeLog::poll() {
+  parser_.reset();
+  stage_ = Stage::polling;
   due_ = now_ + kResponseTimeout;
-  const auto wait = caught_up_ ? kLongPollTimeout : core::Time::zero();
-  const auto path = "/changes?since=" + std::to_string(since_) + "&timeout=" +
-                    std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(wait).count());
-  stream_->write(http_request("GET", path, address_, {}, {}));  // if it fails, `closed` follows
+  const auto timeout = caught_up_ ? kLongPollTimeout : core::Time::zero();
+  const auto path = "/changes?since=" + std::to_string(last_seq_) + "&timeout=" +
+                    std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count());
+  stream_->write(http_request("GET", path, address_, {}, {}));  // if it fails, the `closed` handler follows
 }
 
 void ChangeLog::on_data(std::string_view bytes) {
-  if (stage_ != Stage::asking || !reader_.feed(bytes)) return lost("what came is no answer");
-  if (reader_.complete()) answered();
+  if (stage_ != Stage::polling || !parser_.feed(bytes)) return on_failure("invalid HTTP response");
+  if (parser_.complete()) on_response();
 }
 
-void ChangeLog::answered() {
-  const auto answer = reader_.take();
-  if (answer.status != 200) return lost("it gives no changes");
-  const auto before = since_;
+void ChangeLog::on_response() {
+  const auto response = parser_.take();
+  if (response.status != 200) return on_failure("response with a status other than 200");
+  const auto previous_seq = last_seq_;
   try {
-    take(answer.body);
+    apply(response.body);
   } catch (const config::ConfigError& error) {
-    return lost(error.what());
+    return on_failure(error.what());
   }
-  if (std::exchange(troubled_, false))
-    std::fprintf(stderr, "bellstair: change log: heard again, up to event %llu\n",
-                 static_cast<unsigned long long>(since_));
-  // With news there may be more already.
-  caught_up_ = since_ == before;
-  if (caught_up_) post_(core::DiscoveryIdle{true});
+  if (std::exchange(failure_logged_, false))
+    std::fprintf(stderr, "bellstair: change log: responds again, up to event %llu\n",
+                 static_cast<unsigned long long>(last_seq_));
+  // After new events there may be more already.
+  caught_up_ = last_seq_ == previous_seq;
+  if (caught_up_) emit_(core::DiscoveryIdle{true});
   stage_ = Stage::idle;
   due_ = now_ + kMinPollInterval;
-  if (!answer.keep_alive) disconnect();
+  if (!response.keep_alive) disconnect();
 }
 
-// Each event once, in the order of the numbers; all of an answer or nothing of it.
-void ChangeLog::take(const std::string& body) {
-  auto read = config::parse_changes(body, names_);
-  const auto all = config::parse_json(body, "change log");
-  std::vector<std::pair<std::uint64_t, core::MembershipChange*>> news;
-  std::size_t at = 0;
-  auto last = std::max(since_, read.seq);
-  for (const auto& event : all["results"]) {
+// Emits each event once, in the order of the numbers. A malformed response has no effect.
+void ChangeLog::apply(const std::string& body) {
+  auto membership = config::parse_changes(body, names_);
+  const auto document = config::parse_json(body, "change log");
+  std::vector<std::pair<std::uint64_t, core::MembershipChange*>> new_events;
+  std::size_t next_change = 0;
+  auto highest_seq = std::max(last_seq_, membership.seq);
+  for (const auto& event : document["results"]) {
     const auto seq = config::unsigned_value(config::require_field(event, "seq"), "results[].seq");
-    last = std::max(last, seq);
+    highest_seq = std::max(highest_seq, seq);
     // parse_changes() leaves out events of other kinds.
-    auto* const change = event.contains("fleet") ? &read.changes[at++] : nullptr;
-    if (seq > since_ && change != nullptr) news.emplace_back(seq, change);
+    auto* const change = event.contains("fleet") ? &membership.changes[next_change++] : nullptr;
+    if (seq > last_seq_ && change != nullptr) new_events.emplace_back(seq, change);
   }
-  std::ranges::stable_sort(news, {}, [](const auto& one) { return one.first; });
-  for (auto& [seq, change] : news) {
-    if (seq == since_) continue;  // told twice
-    since_ = seq;
+  std::ranges::stable_sort(new_events, {}, [](const auto& event) { return event.first; });
+  for (auto& [seq, change] : new_events) {
+    if (seq == last_seq_) continue;  // a duplicate
+    last_seq_ = seq;
     change->live = true;
-    post_(std::move(*change));
+    emit_(std::move(*change));
   }
-  since_ = last;
+  last_seq_ = highest_seq;
 }
 
-void ChangeLog::lost(const char* why) {
-  if (!std::exchange(troubled_, true))
-    std::fprintf(stderr, "bellstair: change log: %s; asking again from event %llu\n", why,
-                 static_cast<unsigned long long>(since_));
+void ChangeLog::on_failure(const char* reason) {
+  if (!std::exchange(failure_logged_, true))
+    std::fprintf(stderr, "bellstair: change log: %s; retrying from event %llu\n", reason,
+                 static_cast<unsigned long long>(last_seq_));
   disconnect();
   caught_up_ = false;
   due_ = now_ + kReconnectDelay;
-  post_(core::DiscoveryIdle{false});  // what is known has to do
+  emit_(core::DiscoveryIdle{false});  // goes on with the membership known
 }
 
 void ChangeLog::disconnect() {
-  stage_ = Stage::apart;
+  stage_ = Stage::disconnected;
   if (!stream_) return;
   stream_->close();
-  gone_.push_back(std::move(stream_));
+  closed_.push_back(std::move(stream_));
 }
 
 }  // namespace bellstair::platform
--- a/src/platform/changelog.hpp
+++ b/src/platform/changelog.hpp
@@ -1,4 +1,5 @@
-// Follows the list of engines: asks the change log for what came after the last event known, again and again.
+// Client of the change log, which publishes the membership of the fleet: polls for
+// events after the last one known.
 #pragma once
 
 #include <ev++.h>
@@ -19,47 +20,51 @@
 
 class ChangeLog {
  public:
-  // The longest wait for news that is asked for. What a log that stops would have told counts as told 2 s
-  // after that wait, so the shorter it is, the sooner silence shows.
+  // Wait for new events that a long poll requests. What a change log that has stopped would have reported
+  // counts as reported 2 s after that wait, so a shorter wait shows sooner that it does not respond.
   static constexpr core::Time kLongPollTimeout = std::chrono::milliseconds(1000);
-  static constexpr core::Time kResponseTimeout =
-      kLongPollTimeout + std::chrono::milliseconds(500);  // for a whole answer
+  // For a complete response.
+  static constexpr core::Time kResponseTimeout = kLongPollTimeout + std::chrono::milliseconds(500);
   static constexpr core::Time kConnectTimeout = std::chrono::milliseconds(500);
-  static constexpr core::Time kReconnectDelay = std::chrono::milliseconds(100);  // before the next connection
-  static constexpr core::Time kMinPollInterval =
-      std::chrono::milliseconds(10);  // between two calls, at the least
+  static constexpr core::Time kReconnectDelay = std::chrono::milliseconds(100);
+  static constexpr core::Time kMinPollInterval = std::chrono::milliseconds(10);
   static constexpr std::size_t kMaxBodyBytes = std::size_t{1} << 20;
 
-  // `names` has to outlive this; `since`: the number of the last event known.
-  ChangeLog(ev::loop_ref loop, std::string address, const config::NameIndex& names, std::uint64_t since,
-            net::EventSink post);
+  // `names` must outlive this object. `last_seq`: the number of the last event known.
+  ChangeLog(ev::loop_ref loop, std::string address, const config::NameIndex& names, std::uint64_t last_seq,
+            net::EventSink emit);
 
+  // Continues at another address, from the same event number; a pending request
+  // is dropped and repeated there.
   void set_address(const std::string& address);
-  void tick(core::Time now);  // all calls leave from here, and all waits end here
+  // Takes over the current monotonic time; starts connections and requests and handles timeouts.
+  void tick(core::Time now);
 
  private:
-  enum class Stage { apart, dialling, idle, asking };
+  enum class Stage { disconnected, connecting, idle, polling };
 
-  void dial();
-  void ask();
+  void connect();
+  void poll();
   void on_data(std::string_view bytes);
-  void answered();
-  void lost(const char* why);
+  void on_response();
+  void on_failure(const char* reason);
   void disconnect();
-  void take(const std::string& body);
+  // Emits the membership changes of a response. Throws config::ConfigError if the response is malformed.
+  void apply(const std::string& body);
 
   ev::loop_ref loop_;
   std::string address_;
   const config::NameIndex& names_;
-  std::uint64_t since_;
-  net::EventSink post_;
-  Stage stage_ = Stage::apart;
-  HttpResponseParser reader_{kMaxBodyBytes};
+  std::uint64_t last_seq_;
+  net::EventSink emit_;
+  Stage stage_ = Stage::disconnected;
+  HttpResponseParser parser_{kMaxBodyBytes};
   std::unique_ptr<net::Stream> stream_;
-  std::vector<std::unique_ptr<net::Stream>> gone_;  // freed once no handler of theirs can be running
-  bool caught_up_ = false;                          // the last answer said that there is no more
-  bool troubled_ = false;                           // said so, and not heard since
-  core::Time now_{}, due_{};                        // due_: what the stage waits for is over, or may begin
+  std::vector<std::unique_ptr<net::Stream>>
+      closed_;                   // freed later, when none of their handlers can be running
+  bool caught_up_ = false;       // the last response held no new events
+  bool failure_logged_ = false;  // and no response has been received since
+  core::Time now_{}, due_{};     // due_: when the stage times out, or when its next action may begin
 };
 
 }  // namespace bellstair::platform
--- a/src/platform/engines.cpp
+++ b/src/platform/engines.cpp
@@ -12,32 +12,37 @@
 using core::AttemptId;
 using core::AttemptOutcome;
 
-constexpr std::size_t kMostBody = std::size_t{64} * 1024;  // of any answer
-constexpr std::size_t kMostPage = 6000;
-constexpr std::size_t kMostResult = 48'000;
-constexpr std::size_t kMostPages = 4096;
-// An engine answers a POST or a call for news within 250 ms, if only that there is none, and gives a page at
-// once; a query unasked for 2 s dies. A call that hears nothing for longer than that, and what an engine may
-// stand still meanwhile in all its tries, is made again on another connection while there is time.
-constexpr core::Time kSilence = 400ms, kPageSilence = 250ms;
-constexpr core::Time kSoonest = 200ms;  // no engine says before that there is no news: it is said twice
-constexpr core::Time kAside = 500ms;    // for calls that nothing waits for long: giving up, priorities
-constexpr int kReconnects = 2;
-constexpr core::Time kTellPause = 50ms;  // between two tries to have an engine told
-// A statement whose connection has broken may come so long after: another connection can overtake it.
-constexpr core::Time kInFlight = 50ms;
-// A query that nobody has asked for in 2 s ends at its engine; a call that came may be held there for 250 ms.
-constexpr core::Time kForgotten = 2s + 250ms + 150ms;
-constexpr core::Time kReport = 2s;  // between lines in the log
+constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;  // of any response
+constexpr std::size_t kMaxPageBytes = 6000;
+constexpr std::size_t kMaxResultBytes = 48'000;
+constexpr std::size_t kMaxPages = 4096;
+// An engine answers a POST or a poll within 250 ms, if only to report no change, and a page request
+// at once; it ends a query that is not polled for 2 s. A call without a response for longer than
+// that, with an allowance for pauses of the engine during all the tries, is repeated on another
+// connection while there is time.
+constexpr core::Time kResponseTimeout = 400ms, kPageTimeout = 250ms;
+// No engine reports "no change" sooner than this after a poll, so an earlier such response is a duplicate.
+constexpr core::Time kMinIdleResponseTime = 200ms;
+// For calls that nothing waits for long: cancelling, priorities, probes.
+constexpr core::Time kOutOfBandTimeout = 500ms;
+constexpr int kMaxReconnects = 2;               // in a row, for one attempt
+constexpr core::Time kDeleteRetryDelay = 50ms;  // between two DELETEs of one query
+// A statement may still reach the engine so long after its connection has broken, overtaken by
+// requests on other connections.
+constexpr core::Time kMaxTransitTime = 50ms;
+// An engine ends a query 2 s after its last poll, and may hold that poll for 250 ms before it responds.
+constexpr core::Time kQueryExpiry = 2s + 250ms + 150ms;
+constexpr core::Time kLogInterval = 2s;  // between two log lines with counts
 
 struct HttpSession : net::Session {
-  HttpResponseParser reader{kMostBody};
-  bool doubled = false;  // an answer too many came, so that each further one may belong to the call before
+  HttpResponseParser parser{kMaxBodyBytes};
+  // A duplicate response was received, so each further one may belong to the previous call.
+  bool duplicate_response = false;
 };
 
-// Rows of three columns, each with its line feed.
-bool whole_rows(std::string_view page) {
-  if (page.size() > kMostPage || (!page.empty() && page.back() != '\n')) return false;
+// True if the page consists of rows of three columns, each ended by a line feed.
+bool complete_rows(std::string_view page) {
+  if (page.size() > kMaxPageBytes || (!page.empty() && page.back() != '\n')) return false;
   int tabs = 0;
   for (const char c : page) {
     tabs += c == '\t' ? 1 : 0;
@@ -47,15 +52,15 @@
   return true;
 }
 
-std::string path_of(const std::string& ticket) { return "/v1/store/" + ticket; }
+std::string query_path(const std::string& ticket) { return "/v1/store/" + ticket; }
 }  // namespace
 
 Engines::Engines(ev::loop_ref loop, net::ConnectionPool::Limits limits, std::vector<std::string> class_names,
-                 std::vector<std::string> load_fields, net::EventSink post)
+                 std::vector<std::string> load_fields, net::EventSink emit)
     : pool_(loop, limits),
       class_names_(std::move(class_names)),
       load_fields_(std::move(load_fields)),
-      post_(std::move(post)) {}
+      emit_(std::move(emit)) {}
 
 std::string Engines::host(core::EngineId engine) const {
   const auto found = addresses_.find(engine);
@@ -64,99 +69,106 @@
 
 // ---- calls
 
-std::uint64_t Engines::call(Connection& connection, const std::string& bytes, core::Time patience,
-                            Done done) {
-  const auto serial = ++serial_;
+std::uint64_t Engines::start_call(Connection& connection, const std::string& request, core::Time timeout,
+                                  CallCallback callback) {
+  const auto call_id = ++last_call_id_;
   if (!connection.session) connection.session = std::make_unique<HttpSession>();
-  auto& reader = static_cast<HttpSession&>(*connection.session).reader;
-  reader.expect();
-  calls_[serial] = {&connection, connection.stream.sent_bytes(), std::move(done)};
-  connection.on_data = [this, serial, &reader](std::string_view in) {
-    if (!reader.feed(in)) return finish(serial, End::broken);
-    if (reader.complete()) finish(serial, End::answered);
+  auto& parser = static_cast<HttpSession&>(*connection.session).parser;
+  parser.reset();
+  calls_[call_id] = {&connection, connection.stream.sent_bytes(), std::move(callback)};
+  connection.on_data = [this, call_id, &parser](std::string_view bytes) {
+    if (!parser.feed(bytes)) return finish_call(call_id, CallOutcome::broken);
+    if (parser.complete()) finish_call(call_id, CallOutcome::responded);
   };
-  connection.on_lost = [this, serial, &reader](bool clean) {
-    finish(serial, clean && reader.finish() ? End::answered : End::broken);
+  connection.on_lost = [this, call_id, &parser](bool clean) {
+    finish_call(call_id, clean && parser.finish() ? CallOutcome::responded : CallOutcome::broken);
   };
-  patience_.arm(now_ + patience, serial);
-  connection.stream.write(bytes);  // if it fails, `lost` follows
-  return serial;
+  call_timeouts_.arm(now_ + timeout, call_id);
+  connection.stream.write(request);  // if it fails, `on_lost` follows
+  return call_id;
 }
 
-void Engines::finish(std::uint64_t serial, End end) {
-  const auto found = calls_.find(serial);
+void Engines::finish_call(std::uint64_t call_id, CallOutcome outcome) {
+  const auto found = calls_.find(call_id);
   if (found == calls_.end()) return;
   const auto call = std::move(found->second);
   calls_.erase(found);
   auto& connection = *call.connection;
-  auto& reader = static_cast<HttpSession&>(*connection.session).reader;
-  HttpResponse answer;
-  if (end == End::answered) answer = reader.take();
-  if (end == End::broken && connection.stream.sent_bytes() == call.before) end = End::unsent;
-  const bool fit = end == End::answered && answer.keep_alive && connection.stream.open();
+  auto& parser = static_cast<HttpSession&>(*connection.session).parser;
+  HttpResponse response;
+  if (outcome == CallOutcome::responded) response = parser.take();
+  if (outcome == CallOutcome::broken && connection.stream.sent_bytes() == call.sent_before)
+    outcome = CallOutcome::unsent;
+  const bool reusable = outcome == CallOutcome::responded && response.keep_alive && connection.stream.open();
   connection.on_data = nullptr;
   connection.on_lost = nullptr;
-  ++call_ends_[static_cast<std::size_t>(end)];
-  if (!fit) pool_.discard(connection);
-  call.done(end, answer);
+  ++call_outcomes_[static_cast<std::size_t>(outcome)];
+  if (!reusable) pool_.discard(connection);
+  call.callback(outcome, response);
 }
 
-std::uint64_t Engines::aside(core::EngineId engine, std::string bytes, core::Time patience, Done done) {
-  return pool_.acquire(engine,
-                       [this, bytes = std::move(bytes), patience, done = std::move(done)](Connection* c) {
-                         HttpResponse none;
-                         if (c == nullptr) return done(End::not_connected, none);
-                         call(*c, bytes, patience, [this, c, done](End end, HttpResponse& answer) {
-                           if (end == End::answered && answer.keep_alive && c->stream.open()) release(*c);
-                           done(end, answer);
-                         });
-                       });
+std::uint64_t Engines::out_of_band_call(core::EngineId engine, std::string request, core::Time timeout,
+                                        CallCallback callback) {
+  return pool_.acquire(
+      engine, [this, request = std::move(request), timeout, callback = std::move(callback)](Connection* c) {
+        HttpResponse no_response;
+        if (c == nullptr) return callback(CallOutcome::not_connected, no_response);
+        start_call(*c, request, timeout, [this, c, callback](CallOutcome outcome, HttpResponse& response) {
+          if (outcome == CallOutcome::responded && response.keep_alive && c->stream.open())
+            release_connection(*c);
+          callback(outcome, response);
+        });
+      });
 }
 
-void Engines::release(Connection& connection) {
+void Engines::release_connection(Connection& connection) {
   const auto* session = static_cast<const HttpSession*>(connection.session.get());
-  session != nullptr && session->doubled ? pool_.discard(connection) : pool_.release(connection);
+  session != nullptr && session->duplicate_response ? pool_.discard(connection) : pool_.release(connection);
 }
 
 void Engines::tick(core::Time now) {
   now_ = now;
   pool_.tick(now);
-  patience_.advance(now, [this](std::uint64_t serial) { finish(serial, End::silent); });
-  tell_again_.advance(now, [this](core::AttemptId id) {
-    if (attempts_.contains(id)) tell(id);
+  call_timeouts_.advance(now,
+                         [this](std::uint64_t call_id) { finish_call(call_id, CallOutcome::timed_out); });
+  delete_retries_.advance(now, [this](core::AttemptId id) {
+    if (attempts_.contains(id)) send_delete(id);
   });
-  ask_again_.advance(now, [this](core::AttemptId id) {
+  poll_retries_.advance(now, [this](core::AttemptId id) {
     const auto found = attempts_.find(id);
-    if (found != attempts_.end() && found->second.stage == Stage::polling) ask(id);
+    if (found != attempts_.end() && found->second.stage == Stage::polling) poll(id);
   });
-  forgotten_.advance(now, [this](core::AttemptId id) {
-    if (attempts_.contains(id)) forgotten(id);
+  expiries_.advance(now, [this](core::AttemptId id) {
+    if (attempts_.contains(id)) end_if_expired(id);
   });
-  if (now >= reported_ + kReport) report();
+  if (now >= last_logged_ + kLogInterval) log_counts();
 }
 
-// What befalls connections, calls and attempts, one line for them all; none while nothing happens.
-void Engines::report() {
-  reported_ = now_;
-  const auto calls = std::exchange(call_ends_, {});
-  const auto ends = std::exchange(attempt_ends_, {});
-  const auto c = pool_.take_counts();
-  if (calls == decltype(calls){} && ends == decltype(ends){} && c == net::ConnectionPool::Counts{}) return;
-  const auto call = [&](End end) { return calls[static_cast<std::size_t>(end)]; };
-  const auto attempt = [&](AttemptOutcome end) { return ends[static_cast<std::size_t>(end)]; };
-  std::fprintf(
-      stderr,
-      "bellstair: engines: %s; %zu dialled, %zu refused, %zu late, %zu cut off, %zu reused, %zu stale, %zu "
-      "broken, %zu "
-      "aged, %zu evicted, %zu starved; calls %zu answered, %zu unsent, %zu broken, %zu silent; attempts %zu "
-      "out, %zu served, %zu error, %zu turned away, %zu expired, %zu not connected, %zu reset, %zu lost, %zu "
-      "withdrawn\n",
-      pool_.state().c_str(), c.dialled, c.refused, c.late, c.cut_off, c.reused, c.stale, c.broken, c.aged,
-      c.evicted, c.starved, call(End::answered), call(End::unsent), call(End::broken), call(End::silent),
-      attempts_.size(), attempt(AttemptOutcome::served), attempt(AttemptOutcome::error),
-      attempt(AttemptOutcome::rejected), attempt(AttemptOutcome::expired),
-      attempt(AttemptOutcome::connect_failed), attempt(AttemptOutcome::connection_reset),
-      attempt(AttemptOutcome::query_dropped), attempt(AttemptOutcome::cancelled));
+// Logs the counts of connections, calls and attempts in one line, or nothing if all are zero.
+void Engines::log_counts() {
+  last_logged_ = now_;
+  const auto calls = std::exchange(call_outcomes_, {});
+  const auto attempts = std::exchange(attempt_outcomes_, {});
+  const auto counts = pool_.take_counts();
+  if (calls == decltype(calls){} && attempts == decltype(attempts){} &&
+      counts == net::ConnectionPool::Counts{})
+    return;
+  const auto call = [&](CallOutcome outcome) { return calls[static_cast<std::size_t>(outcome)]; };
+  const auto attempt = [&](AttemptOutcome outcome) { return attempts[static_cast<std::size_t>(outcome)]; };
+  std::fprintf(stderr,
+               "bellstair: engines: %s; connects %zu started, %zu failed, %zu timed out, %zu reset; "
+               "connections %zu assigned, %zu closed by peer, %zu lost while idle, %zu idle timeouts, "
+               "%zu evicted, %zu exhausted; calls %zu answered, %zu unsent, %zu broken, %zu timed out; "
+               "attempts %zu in flight, %zu served, %zu error, %zu rejected, %zu expired, "
+               "%zu not connected, %zu reset, %zu dropped, %zu cancelled\n",
+               pool_.state().c_str(), counts.started, counts.failed, counts.timed_out, counts.reset,
+               counts.assigned, counts.closed_by_peer, counts.lost_idle, counts.idle_timeouts, counts.evicted,
+               counts.exhausted, call(CallOutcome::responded), call(CallOutcome::unsent),
+               call(CallOutcome::broken), call(CallOutcome::timed_out), attempts_.size(),
+               attempt(AttemptOutcome::served), attempt(AttemptOutcome::error),
+               attempt(AttemptOutcome::rejected), attempt(AttemptOutcome::expired),
+               attempt(AttemptOutcome::connect_failed), attempt(AttemptOutcome::connection_reset),
+               attempt(AttemptOutcome::query_dropped), attempt(AttemptOutcome::cancelled));
 }
 
 // ---- effects
@@ -166,16 +178,16 @@
   auto& attempt = attempts_[id];
   attempt.engine = effect.engine;
   attempt.result.id = id;
-  attempt.ticket = pool_.acquire(effect.engine, [this, id](Connection* connection) {
+  attempt.pool_ticket = pool_.acquire(effect.engine, [this, id](Connection* connection) {
     const auto found = attempts_.find(id);
-    if (connection == nullptr) return end(id, AttemptOutcome::connect_failed);
+    if (connection == nullptr) return end_attempt(id, AttemptOutcome::connect_failed);
     found->second.connection = connection;
     found->second.stage = Stage::ready;
     connection->on_lost = [this, id, connection](bool) {
       attempts_.at(id).connection = nullptr;
       pool_.discard(*connection);
     };
-    post_(core::AttemptReady{id});
+    emit_(core::AttemptReady{id});
   });
 }
 
@@ -183,7 +195,7 @@
   const auto found = attempts_.find(effect.id);
   if (found == attempts_.end() || found->second.stage != Stage::ready) return;
   auto& attempt = found->second;
-  if (attempt.connection == nullptr) return end(effect.id, AttemptOutcome::expired);
+  if (attempt.connection == nullptr) return end_attempt(effect.id, AttemptOutcome::expired);
   HttpHeaders headers;
   headers.emplace_back("X-Ticket", effect.ticket);
   headers.emplace_back("X-Queue", class_names_.at(effect.class_index));
@@ -193,18 +205,19 @@
     headers.emplace_back("Query-Memory", std::to_string(std::llround(effect.memory_mb)));
   headers.emplace_back("Query-Priority", std::to_string(effect.priority));
   if (!effect.parameters.empty()) {
-    // These engines take a statement as text: bound values become literals.
+    // These engines accept statements as text only, so bound values become literals.
     const auto values = sql::unpack(effect.parameters);
     auto text = values ? sql::with_literals(effect.body, *values) : std::nullopt;
-    if (!text) return end(effect.id, AttemptOutcome::error);
+    if (!text) return end_attempt(effect.id, AttemptOutcome::error);
     effect.body = std::move(*text);
   }
   attempt.stage = Stage::posted;
-  attempt.query = path_of(effect.ticket);
+  attempt.query_path = query_path(effect.ticket);
   const auto id = effect.id;
-  attempt.call =
-      call(*attempt.connection, http_request("POST", "/v1/store", host(attempt.engine), headers, effect.body),
-           kSilence, [this, id](End end, HttpResponse& answer) { answered(id, end, answer); });
+  attempt.call_id = start_call(
+      *attempt.connection, http_request("POST", "/v1/store", host(attempt.engine), headers, effect.body),
+      kResponseTimeout,
+      [this, id](CallOutcome outcome, HttpResponse& response) { on_response(id, outcome, response); });
 }
 
 void Engines::run(const core::CancelAttempt& effect) {
@@ -213,112 +226,115 @@
   auto& attempt = found->second;
   switch (attempt.stage) {
     case Stage::waiting:
-      pool_.cancel(attempt.engine, attempt.ticket);
-      return end(effect.id, AttemptOutcome::expired);
+      pool_.cancel(attempt.engine, attempt.pool_ticket);
+      return end_attempt(effect.id, AttemptOutcome::expired);
     case Stage::ready:
       if (attempt.connection != nullptr) pool_.release(*attempt.connection);
       attempt.connection = nullptr;
-      return end(effect.id, AttemptOutcome::expired);
+      return end_attempt(effect.id, AttemptOutcome::expired);
     case Stage::posted:
-      // A DELETE on another connection could overtake the statement, which would then run unasked: the
-      // engine's first word, at most 250 ms away, proves that it has come whole.
-      attempt.stage = Stage::leaving;
+      // A DELETE on another connection could overtake the statement, which would then run all the same. The
+      // engine's first response, at most 250 ms away, proves that the statement has arrived completely.
+      attempt.stage = Stage::cancelling;
       if (attempt.connection->stream.unsent_bytes() > 0) {
-        pool_.discard(*attempt.connection);  // the engine never gets it whole
-        calls_.erase(attempt.call);
-        return end(effect.id, AttemptOutcome::cancelled);
+        pool_.discard(*attempt.connection);  // the engine never receives the complete statement
+        calls_.erase(attempt.call_id);
+        return end_attempt(effect.id, AttemptOutcome::cancelled);
       }
-      patience_.arm(now_ + kAside, attempt.call);
+      call_timeouts_.arm(now_ + kOutOfBandTimeout, attempt.call_id);
       return;
     case Stage::paging:
-      return end(effect.id, AttemptOutcome::cancelled);  // it has ended there
+      return end_attempt(effect.id, AttemptOutcome::cancelled);  // the query has ended at the engine
     case Stage::polling:
-      return give_up(effect.id, AttemptOutcome::cancelled);
-    case Stage::leaving:
+      return cancel_query(effect.id, AttemptOutcome::cancelled);
+    case Stage::cancelling:
     case Stage::deleting:
       return;
   }
 }
 
-// Queries outlive their connections: until its engine has been told, this one may still run, and must not be
-// sent anywhere else. A call that broke off, or was not answered, may not have come: only an answer tells
-// that it has, or so long a time that the engine has ended the query unasked.
-void Engines::give_up(AttemptId id, AttemptOutcome how) {
+// Queries outlive their connections: until the engine has answered a DELETE, this one may still
+// run, and must not be sent to another engine. A DELETE that failed or was not answered may not
+// have arrived: only a response proves that it has, or so long a time that the engine has ended the
+// query because it was not polled.
+void Engines::cancel_query(AttemptId id, AttemptOutcome outcome) {
   auto& attempt = attempts_.at(id);
   if (attempt.stage == Stage::deleting) return;
   attempt.stage = Stage::deleting;
-  attempt.given_up = how;
-  let_go(attempt);
-  if (!forgotten(id)) tell(id);
+  attempt.final_outcome = outcome;
+  release_if_unused(attempt);
+  if (!end_if_expired(id)) send_delete(id);
 }
 
-void Engines::tell(AttemptId id) {
+void Engines::send_delete(AttemptId id) {
   auto& attempt = attempts_.at(id);
-  attempt.ticket = aside(
-      attempt.engine, http_request("DELETE", attempt.query, host(attempt.engine), {}, {}), kAside,
-      [this, id](End how, HttpResponse&) {
+  attempt.pool_ticket = out_of_band_call(
+      attempt.engine, http_request("DELETE", attempt.query_path, host(attempt.engine), {}, {}),
+      kOutOfBandTimeout, [this, id](CallOutcome outcome, HttpResponse&) {
         const auto found = attempts_.find(id);
         if (found == attempts_.end()) return;
-        if (how != End::answered) return tell_again_.arm(now_ + kTellPause, id);
-        if (!believe_denial(found->second)) return tell_again_.arm(now_ + kInFlight, id);
-        const auto given_up = found->second.given_up;
-        end(id, given_up == AttemptOutcome::connection_reset ? AttemptOutcome::query_dropped : given_up);
+        if (outcome != CallOutcome::responded) return delete_retries_.arm(now_ + kDeleteRetryDelay, id);
+        if (!confirm_unknown(found->second)) return delete_retries_.arm(now_ + kMaxTransitTime, id);
+        const auto final_outcome = found->second.final_outcome;
+        end_attempt(id, final_outcome == AttemptOutcome::connection_reset ? AttemptOutcome::query_dropped
+                                                                          : final_outcome);
       });
 }
 
-bool Engines::believe_denial(Attempt& attempt) const {
-  if (!attempt.doubtful) return true;
-  if (attempt.denied == core::Time::zero()) attempt.denied = now_;
-  return now_ >= attempt.denied + kInFlight;
+bool Engines::confirm_unknown(Attempt& attempt) const {
+  if (!attempt.unconfirmed) return true;
+  if (attempt.reported_unknown_at == core::Time::zero()) attempt.reported_unknown_at = now_;
+  return now_ >= attempt.reported_unknown_at + kMaxTransitTime;
 }
 
-bool Engines::forgotten(AttemptId id) {
+bool Engines::end_if_expired(AttemptId id) {
   auto& attempt = attempts_.at(id);
-  if (calls_.contains(attempt.call)) attempt.asked = now_;
-  const bool ended = now_ >= attempt.asked + kForgotten;
-  ended ? end(id, attempt.given_up) : forgotten_.arm(attempt.asked + kForgotten, id);
+  if (calls_.contains(attempt.call_id)) attempt.last_contact = now_;
+  const bool ended = now_ >= attempt.last_contact + kQueryExpiry;
+  ended ? end_attempt(id, attempt.final_outcome) : expiries_.arm(attempt.last_contact + kQueryExpiry, id);
   return ended;
 }
 
-void Engines::let_go(Attempt& attempt) {
-  if (attempt.connection == nullptr || calls_.contains(attempt.call)) return;
-  release(*std::exchange(attempt.connection, nullptr));
+void Engines::release_if_unused(Attempt& attempt) {
+  if (attempt.connection == nullptr || calls_.contains(attempt.call_id)) return;
+  release_connection(*std::exchange(attempt.connection, nullptr));
 }
 
 void Engines::run(const core::SetPriority& effect) {
   const auto found = attempts_.find(effect.id);
   if (found == attempts_.end()) return;
   auto& attempt = found->second;
-  if (attempt.stage == Stage::posted) attempt.rank = effect.priority;
+  if (attempt.stage == Stage::posted) attempt.pending_priority = effect.priority;
   if (attempt.stage != Stage::polling) return;
-  aside(attempt.engine,
-        http_request("PUT", attempt.query, host(attempt.engine), {}, std::to_string(effect.priority)), kAside,
-        [](End, HttpResponse&) {});
+  out_of_band_call(
+      attempt.engine,
+      http_request("PUT", attempt.query_path, host(attempt.engine), {}, std::to_string(effect.priority)),
+      kOutOfBandTimeout, [](CallOutcome, HttpResponse&) {});
 }
 
 void Engines::run(const core::ProbeEngine& effect) {
   const auto engine = effect.engine;
-  aside(engine, http_request("GET", "/-/gauges", host(engine), {}, {}), kAside,
-        [this, engine](End end, HttpResponse& answer) {
-          core::ProbeEnded probe{engine, heronwell::AttemptStatus::served, {}};
-          switch (end) {
-            case End::answered:
-              if (answer.status != 200) probe.status = heronwell::AttemptStatus::rejected;
-              take_load(answer, probe.load);
-              break;
-            case End::not_connected:
-              probe.status = heronwell::AttemptStatus::connect_failed;
-              break;
-            case End::unsent:
-            case End::broken:
-              probe.status = heronwell::AttemptStatus::connection_reset;
-              break;
-            case End::silent:
-              probe.status = heronwell::AttemptStatus::timed_out;
-              break;
-          }
-          post_(std::move(probe));
-        });
+  out_of_band_call(engine, http_request("GET", "/-/gauges", host(engine), {}, {}), kOutOfBandTimeout,
+                   [this, engine](CallOutcome outcome, HttpResponse& response) {
+                     core::ProbeEnded probe{engine, heronwell::AttemptStatus::served, {}};
+                     switch (outcome) {
+                       case CallOutcome::responded:
+                         if (response.status != 200) probe.status = heronwell::AttemptStatus::rejected;
+                         read_load(response, probe.load);
+                         break;
+                       case CallOutcome::not_connected:
+                         probe.status = heronwell::AttemptStatus::connect_failed;
+                         break;
+                       case CallOutcome::unsent:
+                       case CallOutcome::broken:
+                         probe.status = heronwell::AttemptStatus::connection_reset;
+                         break;
+                       case CallOutcome::timed_out:
+                         probe.status = heronwell::AttemptStatus::timed_out;
+                         break;
+                     }
+                     emit_(std::move(probe));
+                   });
 }
 
 void Engines::run(const core::EngineUpdated& effect) {
@@ -330,154 +346,157 @@
   pool_.set_address(effect.engine, effect.address);
 }
 
-// ---- an attempt's way
+// ---- progress of an attempt
 
-void Engines::answered(AttemptId id, End how, HttpResponse& answer) {
+void Engines::on_response(AttemptId id, CallOutcome outcome, HttpResponse& response) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   auto& attempt = found->second;
-  const bool posting = attempt.stage == Stage::posted || attempt.stage == Stage::leaving;
-  if (how != End::answered || !answer.keep_alive || !attempt.connection->stream.open())
-    attempt.connection = nullptr;  // it is gone
-  if (how != End::unsent) attempt.asked = now_;
+  const bool posting = attempt.stage == Stage::posted || attempt.stage == Stage::cancelling;
+  if (outcome != CallOutcome::responded || !response.keep_alive || !attempt.connection->stream.open())
+    attempt.connection = nullptr;  // it has been discarded
+  if (outcome != CallOutcome::unsent) attempt.last_contact = now_;
   if (attempt.stage == Stage::deleting) {
-    if (how == End::answered && answer.status != 202) return end(id, attempt.given_up);
-    return let_go(attempt);
+    if (outcome == CallOutcome::responded && response.status != 202)
+      return end_attempt(id, attempt.final_outcome);
+    return release_if_unused(attempt);
   }
-  if (how != End::answered) {
-    if (posting && how == End::unsent) return end(id, AttemptOutcome::expired);
-    // Once a byte of a statement has left, it may have run, and is never sent again from here. Neither
-    // silence nor an answer that breaks off or can't be read tells whether it runs: the engine is asked for
-    // its news.
-    attempt.doubtful = attempt.doubtful || posting;
-    if (attempt.stage == Stage::leaving) return give_up(id, AttemptOutcome::cancelled);
+  if (outcome != CallOutcome::responded) {
+    if (posting && outcome == CallOutcome::unsent) return end_attempt(id, AttemptOutcome::expired);
+    // Once a byte of a statement has been sent, it may have run, and is never sent again from here. Neither a
+    // timeout nor an incomplete or invalid response shows whether it runs, so the engine is polled.
+    attempt.unconfirmed = attempt.unconfirmed || posting;
+    if (attempt.stage == Stage::cancelling) return cancel_query(id, AttemptOutcome::cancelled);
     attempt.stage = attempt.stage == Stage::posted ? Stage::polling : attempt.stage;
     return reconnect(id);
   }
-  take_load(answer, attempt.result.load);
-  if (answer.status == 202) {
+  read_load(response, attempt.result.load);
+  if (response.status == 202) {
     attempt.reconnects = 0;
-    attempt.doubtful = false;
-    if (attempt.stage == Stage::leaving) return give_up(id, AttemptOutcome::cancelled);
+    attempt.unconfirmed = false;
+    if (attempt.stage == Stage::cancelling) return cancel_query(id, AttemptOutcome::cancelled);
     if (attempt.connection != nullptr && attempt.stage == Stage::polling &&
-        now_ < attempt.asked_for_news + kSoonest)
-      static_cast<HttpSession&>(*attempt.connection->session).doubled = true;
+        now_ < attempt.polled_at + kMinIdleResponseTime)
+      static_cast<HttpSession&>(*attempt.connection->session).duplicate_response = true;
     attempt.stage = Stage::polling;
-    post_(core::AttemptProgressed{id});
-    if (attempt.rank) run(core::SetPriority{id, *std::exchange(attempt.rank, std::nullopt)});
-    return ask(id);
+    emit_(core::AttemptProgressed{id});
+    if (attempt.pending_priority)
+      run(core::SetPriority{id, *std::exchange(attempt.pending_priority, std::nullopt)});
+    return poll(id);
   }
-  if (answer.status == 200) {
-    if (!take_page(attempt, answer)) {
-      // Spoilt on its way: the engine has it still, and gives it again. The connection is of no further use.
+  if (response.status == 200) {
+    if (!append_page(attempt, response)) {
+      // Damaged in transit: the engine still has the page and sends it again. The connection is discarded.
       if (attempt.connection != nullptr) pool_.discard(*std::exchange(attempt.connection, nullptr));
-      if (attempt.stage == Stage::leaving) return end(id, AttemptOutcome::cancelled);
+      if (attempt.stage == Stage::cancelling) return end_attempt(id, AttemptOutcome::cancelled);
       if (attempt.stage == Stage::posted) attempt.stage = Stage::polling;
       return reconnect(id);
     }
     attempt.reconnects = 0;
-    if (attempt.next_page == attempt.pages) return end(id, AttemptOutcome::served);
-    if (attempt.stage == Stage::leaving) return end(id, AttemptOutcome::cancelled);
+    if (attempt.next_page == attempt.page_count) return end_attempt(id, AttemptOutcome::served);
+    if (attempt.stage == Stage::cancelling) return end_attempt(id, AttemptOutcome::cancelled);
     attempt.stage = Stage::paging;
-    return ask(id);
+    return poll(id);
   }
-  // Only the mark proves that nothing ran; whoever else writes a 503 proves nothing.
-  const bool never_ran = answer.header("x-shed") == "1" && attempt.next_page == 0;
-  if (never_ran && answer.status == 503) return end(id, AttemptOutcome::rejected);
-  if (never_ran && answer.status == 504) return end(id, AttemptOutcome::expired);
-  if (attempt.stage != Stage::paging && !believe_denial(attempt)) {
+  // Only this header proves that the query did not run; a 503 from anything else proves nothing.
+  const bool never_ran = response.header("x-shed") == "1" && attempt.next_page == 0;
+  if (never_ran && response.status == 503) return end_attempt(id, AttemptOutcome::rejected);
+  if (never_ran && response.status == 504) return end_attempt(id, AttemptOutcome::expired);
+  if (attempt.stage != Stage::paging && !confirm_unknown(attempt)) {
     attempt.reconnects = 0;
-    let_go(attempt);
-    return ask_again_.arm(now_ + kInFlight, id);
+    release_if_unused(attempt);
+    return poll_retries_.arm(now_ + kMaxTransitTime, id);
   }
-  // An engine that does not know it may never have got it.
-  end(id, attempt.doubtful ? AttemptOutcome::query_dropped : AttemptOutcome::error);
+  // An engine that does not know the query may never have received it.
+  end_attempt(id, attempt.unconfirmed ? AttemptOutcome::query_dropped : AttemptOutcome::error);
 }
 
-bool Engines::take_page(Attempt& attempt, HttpResponse& answer) {
+bool Engines::append_page(Attempt& attempt, HttpResponse& response) {
   auto& result = attempt.result;
-  if (!whole_rows(answer.body) || result.body.size() + answer.body.size() > kMostResult) return false;
+  if (!complete_rows(response.body) || result.body.size() + response.body.size() > kMaxResultBytes)
+    return false;
   if (attempt.next_page == 0) {
-    const double pages = answer.number("result-pages").value_or(0);
-    if (pages < 1 || pages > kMostPages || pages != std::floor(pages)) return false;
-    attempt.pages = static_cast<std::size_t>(pages);
-    if (const auto cost = answer.number("query-cost"); cost && *cost >= 0 && *cost < 1e9)
+    const double pages = response.number("result-pages").value_or(0);
+    if (pages < 1 || pages > kMaxPages || pages != std::floor(pages)) return false;
+    attempt.page_count = static_cast<std::size_t>(pages);
+    if (const auto cost = response.number("query-cost"); cost && *cost >= 0 && *cost < 1e9)
       result.work = core::Time(static_cast<std::int64_t>(*cost * 1e6));
-    result.memory_needed_mb = std::clamp(answer.number("query-need").value_or(0), 0.0, 1e9);
-  } else if (answer.number("result-page").value_or(-1) != static_cast<double>(attempt.next_page)) {
+    result.memory_needed_mb = std::clamp(response.number("query-need").value_or(0), 0.0, 1e9);
+  } else if (response.number("result-page").value_or(-1) != static_cast<double>(attempt.next_page)) {
     return false;
   }
-  result.body += answer.body;
+  result.body += response.body;
   ++attempt.next_page;
   return true;
 }
 
-void Engines::ask(AttemptId id) {
+void Engines::poll(AttemptId id) {
   auto& attempt = attempts_.at(id);
   if (attempt.connection == nullptr) return reconnect(id);
   const auto page = attempt.stage == Stage::paging ? attempt.next_page : 0;
-  attempt.asked_for_news = now_;
-  attempt.call =
-      call(*attempt.connection,
-           http_request("GET", attempt.query + "/" + std::to_string(page), host(attempt.engine), {}, {}),
-           page > 0 ? kPageSilence : kSilence,
-           [this, id](End how, HttpResponse& answer) { answered(id, how, answer); });
+  attempt.polled_at = now_;
+  attempt.call_id = start_call(
+      *attempt.connection,
+      http_request("GET", attempt.query_path + "/" + std::to_string(page), host(attempt.engine), {}, {}),
+      page > 0 ? kPageTimeout : kResponseTimeout,
+      [this, id](CallOutcome outcome, HttpResponse& response) { on_response(id, outcome, response); });
 }
 
-// News and pages may be asked for again: asking does nothing to the query.
+// Polls and page requests may be repeated: they do not change the query.
 void Engines::reconnect(AttemptId id) {
   auto& attempt = attempts_.at(id);
-  if (++attempt.reconnects > kReconnects) return give_up(id, AttemptOutcome::connection_reset);
+  if (++attempt.reconnects > kMaxReconnects) return cancel_query(id, AttemptOutcome::connection_reset);
   pool_.acquire(attempt.engine, [this, id](Connection* connection) {
     const auto found = attempts_.find(id);
-    const bool wanted = found != attempts_.end() &&
-                        (found->second.stage == Stage::polling || found->second.stage == Stage::paging);
-    if (!wanted) {
+    const bool still_needed = found != attempts_.end() &&
+                              (found->second.stage == Stage::polling || found->second.stage == Stage::paging);
+    if (!still_needed) {
       if (connection != nullptr) pool_.release(*connection);
       return;
     }
-    if (connection == nullptr) return give_up(id, AttemptOutcome::connection_reset);
+    if (connection == nullptr) return cancel_query(id, AttemptOutcome::connection_reset);
     found->second.connection = connection;
-    ask(id);
+    poll(id);
   });
 }
 
-void Engines::end(AttemptId id, AttemptOutcome how) {
+void Engines::end_attempt(AttemptId id, AttemptOutcome outcome) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   auto attempt = std::move(found->second);
   attempts_.erase(found);
-  // The engine may get it again under the same name: a DELETE that has not left must not do so then.
-  if (attempt.stage == Stage::deleting) pool_.cancel(attempt.engine, attempt.ticket);
+  // The query may be sent to the engine again under the same path, so a DELETE not sent yet must not follow.
+  if (attempt.stage == Stage::deleting) pool_.cancel(attempt.engine, attempt.pool_ticket);
   if (auto* connection = attempt.connection; connection != nullptr && connection->stream.open()) {
-    // A call that is still out on it ends by itself, and frees the connection then.
-    const auto out = calls_.find(attempt.call);
-    if (out == calls_.end()) {
-      release(*connection);
+    // A call still in flight on the connection releases it when it ends.
+    const auto in_flight = calls_.find(attempt.call_id);
+    if (in_flight == calls_.end()) {
+      release_connection(*connection);
     } else {
-      patience_.arm(now_ + kSilence, out->first);
-      out->second.done = [this, connection](End end, HttpResponse& answer) {
-        if (end == End::answered && answer.keep_alive && connection->stream.open()) release(*connection);
+      call_timeouts_.arm(now_ + kResponseTimeout, in_flight->first);
+      in_flight->second.callback = [this, connection](CallOutcome call_outcome, HttpResponse& response) {
+        if (call_outcome == CallOutcome::responded && response.keep_alive && connection->stream.open())
+          release_connection(*connection);
       };
     }
   }
-  ++attempt_ends_[static_cast<std::size_t>(how)];
-  attempt.result.outcome = how;
-  if (how != AttemptOutcome::served) attempt.result.body.clear();
-  post_(std::move(attempt.result));
+  ++attempt_outcomes_[static_cast<std::size_t>(outcome)];
+  attempt.result.outcome = outcome;
+  if (outcome != AttemptOutcome::served) attempt.result.body.clear();
+  emit_(std::move(attempt.result));
 }
 
-void Engines::take_load(const HttpResponse& answer, std::vector<double>& load) const {
-  const auto text = answer.header("x-meter");
+void Engines::read_load(const HttpResponse& response, std::vector<double>& load) const {
+  const auto text = response.header("x-meter");
   if (text.empty()) return;
   const auto values = parse_load_header(text);
-  std::vector<double> out;
+  std::vector<double> result;
   for (const auto& field : load_fields_) {
     const auto found = values.find(field);
     if (found == values.end()) return;
-    out.push_back(found->second);
+    result.push_back(found->second);
   }
-  load = std::move(out);
+  load = std::move(result);
 }
 
 }  // namespace bellstair::platform
--- a/src/platform/engines.hpp
+++ b/src/platform/engines.hpp
@@ -1,4 +1,5 @@
-// Engines that speak HTTP: starts queries, asks for their news until they end, fetches their pages.
+// Client of engines that speak HTTP: submits queries, polls them until they end,
+// and fetches their result pages.
 #pragma once
 
 #include <ev++.h>
@@ -19,8 +20,10 @@
 
 class Engines : public net::EngineDriver {
  public:
+  // `class_names`: by class index. `load_fields`: the fields of load reports, in the
+  // order in which they are emitted.
   Engines(ev::loop_ref loop, net::ConnectionPool::Limits limits, std::vector<std::string> class_names,
-          std::vector<std::string> load_fields, net::EventSink post);
+          std::vector<std::string> load_fields, net::EventSink emit);
 
   void run(const core::StartAttempt& effect) override;
   void run(core::Transmit& effect) override;
@@ -34,71 +37,90 @@
 
  private:
   using Connection = net::ConnectionPool::Connection;
-  // leaving: given up before the engine's first word; deleting: the engine is being told.
-  enum class Stage { waiting, ready, posted, polling, paging, leaving, deleting };
-  enum class End { answered, not_connected, unsent, broken, silent };
-  using Done = std::function<void(End, HttpResponse&)>;
+  // waiting: for a connection. ready: it has one. posted: the POST is unanswered. polling: the query runs.
+  // paging: it has ended, and its pages are fetched. cancelling: cancelled before the engine's first
+  // response. deleting: DELETEs are sent until the engine answers one.
+  enum class Stage { waiting, ready, posted, polling, paging, cancelling, deleting };
+  // How a call, that is one HTTP request, has ended. unsent: it failed before any byte was sent. broken: it
+  // failed after that, or the response was invalid.
+  enum class CallOutcome { responded, not_connected, unsent, broken, timed_out };
+  // The response is empty unless the outcome is `responded`.
+  using CallCallback = std::function<void(CallOutcome, HttpResponse&)>;
 
   struct Attempt {
     core::EngineId engine = 0;
     Stage stage = Stage::waiting;
-    std::uint64_t ticket = 0;          // while it waits for a connection
-    Connection* connection = nullptr;  // its own, from POST to the last page
-    std::uint64_t call = 0;            // the one that starts it
-    std::string query;                 // its path at the engine
-    std::size_t next_page = 0, pages = 0;
-    core::Time asked_for_news{};
-    int reconnects = 0;  // in a row, without a good answer in between
-    core::Time asked{};  // the engine may have heard a call for it until then
-    core::AttemptOutcome given_up = core::AttemptOutcome::cancelled;  // how it ends once that is settled
-    bool doubtful = false;  // nothing has proved yet that the statement has come
-    core::Time denied{};    // its engine has first said so while it was doubtful: that it has no such query
-    std::optional<std::uint8_t> rank;  // a priority to be told once the engine knows the query
+    std::uint64_t pool_ticket = 0;     // while it waits for a connection
+    Connection* connection = nullptr;  // its own, from the POST to the last page
+    std::uint64_t call_id = 0;         // of its last call
+    std::string query_path;            // of its query at the engine
+    std::size_t next_page = 0, page_count = 0;
+    core::Time polled_at{};
+    int reconnects = 0;         // in a row, without a valid response in between
+    core::Time last_contact{};  // when the engine may last have received a call for it
+    // To report once the query has ended.
+    core::AttemptOutcome final_outcome = core::AttemptOutcome::cancelled;
+    bool unconfirmed = false;  // nothing proves yet that the engine has received the statement
+    // When the engine first denied knowing the query while it was unconfirmed; zero: never.
+    core::Time reported_unknown_at{};
+    std::optional<std::uint8_t> pending_priority;  // to be sent once the engine knows the query
     core::AttemptEnded result;
   };
   struct Call {
     Connection* connection = nullptr;
-    std::size_t before = 0;  // bytes that had left on the connection when the call began
-    Done done;
+    std::size_t sent_before = 0;  // bytes sent on the connection before the call began
+    CallCallback callback;
   };
 
-  std::uint64_t call(Connection& connection, const std::string& bytes, core::Time patience, Done done);
-  void finish(std::uint64_t serial, End end);
-  // A call on any connection of the engine's; gives the pool's ticket for that.
-  std::uint64_t aside(core::EngineId engine, std::string bytes, core::Time patience, Done done);
+  // Sends a request on the connection and returns the call's id. The callback is called once, unless the call
+  // is erased before. A connection that can't be used again has been discarded by then.
+  std::uint64_t start_call(Connection& connection, const std::string& request, core::Time timeout,
+                           CallCallback callback);
+  void finish_call(std::uint64_t call_id, CallOutcome outcome);
+  // Makes a call on any connection to the engine; returns the pool's ticket for the connection.
+  std::uint64_t out_of_band_call(core::EngineId engine, std::string request, core::Time timeout,
+                                 CallCallback callback);
 
-  void answered(core::AttemptId id, End end, HttpResponse& answer);
-  void ask(core::AttemptId id);  // for news, or for the next page
+  void on_response(core::AttemptId id, CallOutcome outcome, HttpResponse& response);
+  // Asks for the state of the query, or for its next page.
+  void poll(core::AttemptId id);
   void reconnect(core::AttemptId id);
-  bool take_page(Attempt& attempt, HttpResponse& answer);  // false: it is spoilt
-  void end(core::AttemptId id, core::AttemptOutcome how);
-  // Ends it once the engine has been told, or has ended the query itself.
-  void give_up(core::AttemptId id, core::AttemptOutcome how);
-  void tell(core::AttemptId id);
-  // The engine says that it has no such query. False: that proves nothing yet, since the statement may be on
-  // its way.
-  bool believe_denial(Attempt& attempt) const;
-  bool forgotten(core::AttemptId id);  // true: its engine has ended it by now, and so has this
-  void release(Connection& connection);
-  void let_go(Attempt& attempt);  // of its connection, if no call is out on it
-  void report();
-  void take_load(const HttpResponse& answer, std::vector<double>& load) const;
+  // Adds a page to the result. Returns false if the page is damaged.
+  bool append_page(Attempt& attempt, HttpResponse& response);
+  // Reports the outcome and forgets the attempt.
+  void end_attempt(core::AttemptId id, core::AttemptOutcome outcome);
+  // Ends the attempt with the outcome once the engine has answered a DELETE, or has ended the query by
+  // itself.
+  void cancel_query(core::AttemptId id, core::AttemptOutcome outcome);
+  void send_delete(core::AttemptId id);
+  // To be called when the engine reports that it does not know the query. Returns false if that proves
+  // nothing yet, because the statement may still be in transit.
+  bool confirm_unknown(Attempt& attempt) const;
+  // Ends the attempt if its engine must have ended the query by now, and returns
+  // true; else checks again later.
+  bool end_if_expired(core::AttemptId id);
+  void release_connection(Connection& connection);
+  // Releases the attempt's connection, unless a call is in flight on it.
+  void release_if_unused(Attempt& attempt);
+  void log_counts();
+  void read_load(const HttpResponse& response, std::vector<double>& load) const;
+  // The Host header for an engine; empty if the engine has been removed.
   std::string host(core::EngineId engine) const;
 
   net::ConnectionPool pool_;
   std::vector<std::string> class_names_, load_fields_;
-  net::EventSink post_;
+  net::EventSink emit_;
   std::map<core::AttemptId, Attempt> attempts_;
   std::unordered_map<std::uint64_t, Call> calls_;
   std::unordered_map<core::EngineId, std::string> addresses_;
-  core::TimerWheel<std::uint64_t> patience_{std::chrono::milliseconds(5)};
-  core::TimerWheel<core::AttemptId> tell_again_{std::chrono::milliseconds(5)},
-      ask_again_{std::chrono::milliseconds(5)}, forgotten_{std::chrono::milliseconds(5)};
-  std::uint64_t serial_ = 0;
-  // Since the last report to the log: how calls have ended, and attempts.
-  std::array<std::size_t, static_cast<std::size_t>(End::silent) + 1> call_ends_{};
-  std::array<std::size_t, static_cast<std::size_t>(core::AttemptOutcome::cancelled) + 1> attempt_ends_{};
-  core::Time now_{}, reported_{};
+  core::TimerWheel<std::uint64_t> call_timeouts_{std::chrono::milliseconds(5)};
+  core::TimerWheel<core::AttemptId> delete_retries_{std::chrono::milliseconds(5)},
+      poll_retries_{std::chrono::milliseconds(5)}, expiries_{std::chrono::milliseconds(5)};
+  std::uint64_t last_call_id_ = 0;
+  // How calls and attempts have ended since the last log line.
+  std::array<std::size_t, static_cast<std::size_t>(CallOutcome::timed_out) + 1> call_outcomes_{};
+  std::array<std::size_t, static_cast<std::size_t>(core::AttemptOutcome::cancelled) + 1> attempt_outcomes_{};
+  core::Time now_{}, last_logged_{};
 };
 
 }  // namespace bellstair::platform
--- a/src/platform/http.hpp
+++ b/src/platform/http.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 as a client speaks it, on http-parser. Pure: bytes in, answers out.
+// HTTP/1.1 on the client's side, on top of http-parser. Free of I/O: bytes in, responses out.
 #pragma once
 
 #include <http_parser.h>
@@ -16,46 +16,50 @@
   unsigned status = 0;
   std::map<std::string, std::string, std::less<>> headers;  // names in lower case
   std::string body;
-  bool keep_alive = true;
+  bool keep_alive = true;  // the connection may be used again
+  // The value of a header; empty if there is none.
   [[nodiscard]] std::string_view header(std::string_view lower_case_name) const;
-  // A header that holds a plain decimal number.
+  // The value of a header as a finite decimal number; nullopt if there is none, or it is no number.
   [[nodiscard]] std::optional<double> number(std::string_view lower_case_name) const;
 };
 
 using HttpHeaders = std::vector<std::pair<std::string_view, std::string>>;
 
-// Header values must be free of line ends; the callers see to it.
+// Formats a request. Header values must not contain line breaks; this is up to the callers.
 [[nodiscard]] std::string http_request(std::string_view method, std::string_view path, std::string_view host,
                                        const HttpHeaders& headers, std::string_view body);
 
-// Reads the answer to one call at a time.
+// Parses the response to one request at a time.
 class HttpResponseParser {
  public:
   static constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
 
-  explicit HttpResponseParser(std::size_t most_body) : most_body_(most_body) { expect(); }
-  void expect();  // a new answer
-  // False: what came is no HTTP, or too large. An answer with more behind it is good, its connection of no
-  // more use.
+  explicit HttpResponseParser(std::size_t max_body_bytes) : max_body_bytes_(max_body_bytes) { reset(); }
+  // Prepares for a new response.
+  void reset();
+  // Parses the bytes. Returns false if they are not valid HTTP or the response is too large. If bytes follow
+  // a complete response, the response is valid, but its connection must not be used again.
   [[nodiscard]] bool feed(std::string_view bytes);
-  // The connection's end; true if that completes the answer.
+  // To be called at the end of the connection; true if the response is complete by that.
   [[nodiscard]] bool finish();
   [[nodiscard]] bool complete() const { return complete_; }
-  [[nodiscard]] bool begun() const { return begun_; }
-  [[nodiscard]] HttpResponse take() { return std::move(answer_); }
+  [[nodiscard]] bool started() const { return started_; }
+  // Moves the response out.
+  [[nodiscard]] HttpResponse take() { return std::move(response_); }
 
  private:
   static const http_parser_settings& callbacks();
   http_parser parser_{};
-  HttpResponse answer_;
-  std::string field_, value_;
-  bool in_value_ = false, complete_ = false, begun_ = false;
-  std::size_t header_bytes_ = 0, most_body_;
-  void keep_header();
-  bool count(std::size_t bytes);
+  HttpResponse response_;
+  std::string field_, value_;  // the header being parsed
+  bool in_value_ = false, complete_ = false, started_ = false;
+  std::size_t header_bytes_ = 0, max_body_bytes_;
+  void store_header();
+  // Adds to the size of the headers; false if they are too large.
+  bool count_header_bytes(std::size_t bytes);
 };
 
-// "pending:7;x1:0.61" -> values by name; what is malformed is left out.
+// Parses a load report such as "pending:7;x1:0.61" into values by name. Malformed entries are left out.
 [[nodiscard]] std::map<std::string, double, std::less<>> parse_load_header(std::string_view text);
 
 }  // namespace bellstair::platform
