--- a/src/platform/base64.cpp
+++ b/src/platform/base64.cpp
@@ -8,28 +8,28 @@
 namespace bellstair::platform {
 
 std::string to_base64(std::string_view bytes) {
-  std::string out((bytes.size() + 2) / 3 * 4 + 1, '\0');
+  std::string result((bytes.size() + 2) / 3 * 4 + 1, '\0');
   const auto size =
-      EVP_EncodeBlock(reinterpret_cast<unsigned char*>(out.data()),
+      EVP_EncodeBlock(reinterpret_cast<unsigned char*>(result.data()),
                       reinterpret_cast<const unsigned char*>(bytes.data()), static_cast<int>(bytes.size()));
-  out.resize(static_cast<std::size_t>(size));
-  return out;
+  result.resize(static_cast<std::size_t>(size));
+  return result;
 }
 
 std::optional<std::string> from_base64(std::string_view text) {
   if (text.size() % 4 != 0) return std::nullopt;
-  // OpenSSL skips white space at both ends and takes padding for zeros: both are seen to here.
+  // OpenSSL skips white space at both ends and decodes padding as zero bits, so both are checked here.
   const auto padding = text.size() - std::min(text.size(), text.find_last_not_of('=') + 1);
   const auto digits = text.substr(0, text.size() - std::min<std::size_t>(padding, 2));
   const auto valid = [](unsigned char c) { return std::isalnum(c) != 0 || c == '+' || c == '/'; };
   if (!std::ranges::all_of(digits, valid)) return std::nullopt;
-  std::string out(text.size() / 4 * 3, '\0');
+  std::string result(text.size() / 4 * 3, '\0');
   const auto size =
-      EVP_DecodeBlock(reinterpret_cast<unsigned char*>(out.data()),
+      EVP_DecodeBlock(reinterpret_cast<unsigned char*>(result.data()),
                       reinterpret_cast<const unsigned char*>(text.data()), static_cast<int>(text.size()));
   if (size < 0) return std::nullopt;
-  out.resize(static_cast<std::size_t>(size) - (text.size() - digits.size()));
-  return out;
+  result.resize(static_cast<std::size_t>(size) - (text.size() - digits.size()));
+  return result;
 }
 
 }  // namespace bellstair::platform
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -6,28 +6,30 @@
 namespace bellstair::platform {
 namespace {
 using namespace std::chrono_literals;
-// A client is owed an answer, an error or a close within 3 s: so long for a first request, and for any line
-// to come whole; and so long to read the last word, while what it still sends is read and dropped.
-constexpr core::Time kWhole = 2s, kLinger = 800ms;
+// A client must get a response, an error or a close within 3 s. kLineTimeout is the time for its first
+// request and for any line to be complete; kLingerTimeout the time to read the last output, while
+// further input is read and dropped.
+constexpr core::Time kLineTimeout = 2s, kLingerTimeout = 800ms;
 }  // namespace
 
 Front::Front(ev::loop_ref loop, net::Fd listening, const config::NameIndex& names,
-             std::size_t most_connections, std::uint64_t& handles, std::function<bool()> green,
-             EventSink post)
+             std::size_t max_connections, std::uint64_t& last_handle, std::function<bool()> ready,
+             EventSink emit)
     : loop_(loop),
       names_(names),
-      most_connections_(most_connections),
-      handles_(handles),
-      green_(std::move(green)),
-      post_(std::move(post)),
+      max_connections_(max_connections),
+      last_handle_(last_handle),
+      ready_(std::move(ready)),
+      emit_(std::move(emit)),
       address_(net::local_address(listening.get())),
       listener_(std::in_place, loop, std::move(listening), [this](net::Fd fd) { accept(std::move(fd)); }) {}
 
-// A connection without an open request may be closed at any time: first those that never asked for anything.
+// A connection without an open request may be closed at any time, those that never sent a valid request
+// first.
 bool Front::make_room() {
-  if (connections_.size() < most_connections_) return true;
-  for (const auto rank : {Rank::stranger, Rank::idle}) {
-    auto& list = ranks_[static_cast<std::size_t>(rank)];
+  if (connections_.size() < max_connections_) return true;
+  for (const auto rank : {EvictionRank::unidentified, EvictionRank::idle}) {
+    auto& list = by_rank_[static_cast<std::size_t>(rank)];
     if (list.empty()) continue;
     close(*list.front());
     return true;
@@ -35,217 +37,227 @@
   return false;
 }
 
-void Front::rank(Connection& connection) {
-  const bool busy = !connection.leaving && (!connection.open.empty() || connection.stream.unsent_bytes() > 0);
-  const auto rank = busy ? Rank::busy : connection.asked && !connection.leaving ? Rank::idle : Rank::stranger;
+void Front::update_rank(Connection& connection) {
+  const bool busy =
+      !connection.half_closed && (!connection.open_requests.empty() || connection.stream.unsent_bytes() > 0);
+  const auto rank = busy                                                     ? EvictionRank::busy
+                    : connection.request_received && !connection.half_closed ? EvictionRank::idle
+                                                                             : EvictionRank::unidentified;
   if (rank == connection.rank) return;
-  auto& from = ranks_[static_cast<std::size_t>(connection.rank)];
-  auto& to = ranks_[static_cast<std::size_t>(rank)];
-  to.splice(to.end(), from, connection.place);
+  auto& from = by_rank_[static_cast<std::size_t>(connection.rank)];
+  auto& to = by_rank_[static_cast<std::size_t>(rank)];
+  to.splice(to.end(), from, connection.rank_position);
   connection.rank = rank;
 }
 
 void Front::accept(net::Fd fd) {
   if (!make_room()) return;
-  auto made = std::make_unique<Connection>(loop_, std::move(fd));
-  auto& connection = *made;
-  connection.serial = ++serial_;
-  connection.since = now_;
-  auto& strangers = ranks_[static_cast<std::size_t>(Rank::stranger)];
-  connection.place = strangers.insert(strangers.end(), &connection);
-  connections_.emplace(connection.serial, std::move(made));
-  watch(connection, now_ + kWhole);
+  auto created = std::make_unique<Connection>(loop_, std::move(fd));
+  auto& connection = *created;
+  connection.id = ++last_connection_id_;
+  connection.timeout_start = now_;
+  auto& unidentified = by_rank_[static_cast<std::size_t>(EvictionRank::unidentified)];
+  connection.rank_position = unidentified.insert(unidentified.end(), &connection);
+  connections_.emplace(connection.id, std::move(created));
+  arm_timer(connection, now_ + kLineTimeout);
   connection.stream.set_handlers({
       .connected = {},
-      .data = [this, &connection](std::string_view bytes) { take(connection, bytes); },
+      .data = [this, &connection](std::string_view bytes) { on_data(connection, bytes); },
       .end_of_input =
           [this, &connection] {
-            // It may only have closed its side: what it has asked for is still owed.
-            connection.ended = true;
-            if (connection.open.empty() && connection.stream.unsent_bytes() == 0) return close(connection);
-            for (const auto& [id, client] : connection.open) post_(core::ClientHalfClosed{client});
+            // It may have closed its sending side only, so its open requests are still answered.
+            connection.input_ended = true;
+            if (connection.open_requests.empty() && connection.stream.unsent_bytes() == 0)
+              return close(connection);
+            for (const auto& [id, client] : connection.open_requests) emit_(core::ClientHalfClosed{client});
           },
       .closed = [this, &connection] { close(connection); },
       .drained =
           [this, &connection] {
-            if (connection.ended && connection.open.empty()) return close(connection);
-            rank(connection);
+            if (connection.input_ended && connection.open_requests.empty()) return close(connection);
+            update_rank(connection);
           },
   });
 }
 
-void Front::watch(Connection& connection, core::Time until) {
-  if (std::exchange(connection.watched, true)) return;
-  watches_.arm(until, connection.serial);
+void Front::arm_timer(Connection& connection, core::Time at) {
+  if (std::exchange(connection.timer_armed, true)) return;
+  timers_.arm(at, connection.id);
 }
 
-// Clients that say nothing, or never end what they say, hold what others need.
+// Clients that send nothing, or never complete a line, use up connections and memory that others need.
 void Front::tick(core::Time now) {
   now_ = now;
-  watches_.advance(now, [this](std::uint64_t serial) {
-    const auto found = connections_.find(serial);
+  timers_.advance(now, [this](std::uint64_t connection_id) {
+    const auto found = connections_.find(connection_id);
     if (found == connections_.end()) return;
     auto& connection = *found->second;
-    connection.watched = false;
-    if (connection.leaving && now_ >= connection.since + kLinger) return close(connection);
-    if (connection.leaving) return watch(connection, connection.since + kLinger);
-    if (connection.spoken && connection.in.empty()) return;
-    if (now_ < connection.since + kWhole) return watch(connection, connection.since + kWhole);
-    dismiss(connection, "no whole request came");
+    connection.timer_armed = false;
+    if (connection.half_closed && now_ >= connection.timeout_start + kLingerTimeout) return close(connection);
+    if (connection.half_closed) return arm_timer(connection, connection.timeout_start + kLingerTimeout);
+    if (connection.line_received && connection.partial_line.empty()) return;
+    if (now_ < connection.timeout_start + kLineTimeout)
+      return arm_timer(connection, connection.timeout_start + kLineTimeout);
+    reject_input(connection, "no whole request came");
   });
 }
 
 void Front::close(Connection& connection) {
-  for (const auto& [id, client] : connection.open) {
-    open_.erase(client);
-    post_(core::RequestCancelled{client});
+  for (const auto& [id, client] : connection.open_requests) {
+    open_requests_.erase(client);
+    emit_(core::RequestCancelled{client});
   }
-  connection.open.clear();
-  partial_ -= std::exchange(connection.in, {}).size();
+  connection.open_requests.clear();
+  partial_bytes_ -= std::exchange(connection.partial_line, {}).size();
   connection.stream.close();
-  const auto found = connections_.find(connection.serial);
+  const auto found = connections_.find(connection.id);
   if (found == connections_.end()) return;
-  ranks_[static_cast<std::size_t>(connection.rank)].erase(connection.place);
-  gone_.push_back(std::move(found->second));
+  by_rank_[static_cast<std::size_t>(connection.rank)].erase(connection.rank_position);
+  closed_.push_back(std::move(found->second));
   connections_.erase(found);
 }
 
-void Front::dismiss(Connection& connection, std::string_view why) {
-  connection.stream.write(rpc_error(std::nullopt, -32600, why));
-  partial_ -= std::exchange(connection.in, {}).size();
-  connection.dismissed = true;
-  if (connection.open.empty()) part(connection);  // what is open on it was taken, and is answered first
+void Front::reject_input(Connection& connection, std::string_view reason) {
+  connection.stream.write(rpc_error(std::nullopt, -32600, reason));
+  partial_bytes_ -= std::exchange(connection.partial_line, {}).size();
+  connection.ignores_input = true;
+  if (connection.open_requests.empty())
+    half_close(connection);  // otherwise after its open requests, which were accepted, are answered
 }
 
-void Front::part(Connection& connection) {
-  connection.leaving = true;
-  partial_ -= std::exchange(connection.in, {}).size();
+void Front::half_close(Connection& connection) {
+  connection.half_closed = true;
+  partial_bytes_ -= std::exchange(connection.partial_line, {}).size();
   connection.stream.shut_down_write();
-  rank(connection);
-  connection.since = now_;
-  connection.watched = false;
-  watch(connection, now_ + kLinger);
+  update_rank(connection);
+  connection.timeout_start = now_;
+  connection.timer_armed = false;
+  arm_timer(connection, now_ + kLingerTimeout);
 }
 
 void Front::stop() {
   if (std::exchange(stopped_, true)) return;
   listener_.reset();
-  for (const auto& [serial, connection] : connections_) {
-    connection->dismissed = true;
-    // What is open on it was read just now: its answer comes first.
-    if (!connection->leaving && connection->open.empty()) part(*connection);
+  for (const auto& [connection_id, connection] : connections_) {
+    connection->ignores_input = true;
+    // Its open requests have only just been read, and are answered first.
+    if (!connection->half_closed && connection->open_requests.empty()) half_close(*connection);
   }
 }
 
-void Front::strike(Connection& connection, const std::string& reply) {
-  connection.stream.write(reply);
-  if (++connection.strikes == kMostStrikes) dismiss(connection, "too many lines of no use");
+void Front::count_protocol_error(Connection& connection, const std::string& response) {
+  connection.stream.write(response);
+  if (++connection.protocol_errors == kMaxProtocolErrors)
+    reject_input(connection, "too many lines of no use");
 }
 
-void Front::take(Connection& connection, std::string_view bytes) {
-  // Lines that have come whole are read in place; only a line cut in two is kept.
-  while (connection.stream.open() && !connection.dismissed && !connection.leaving) {
+void Front::on_data(Connection& connection, std::string_view bytes) {
+  // Complete lines are parsed in place; only an incomplete line is copied.
+  while (connection.stream.open() && !connection.ignores_input && !connection.half_closed) {
     const auto end = bytes.find('\n');
     if (end == std::string_view::npos) break;
-    if (connection.in.empty()) {
-      take_line(connection, bytes.substr(0, end));
+    if (connection.partial_line.empty()) {
+      on_line(connection, bytes.substr(0, end));
     } else {
-      partial_ -= connection.in.size();
-      const auto whole = std::exchange(connection.in, {}).append(bytes.substr(0, end));
-      take_line(connection, whole);
+      partial_bytes_ -= connection.partial_line.size();
+      const auto line = std::exchange(connection.partial_line, {}).append(bytes.substr(0, end));
+      on_line(connection, line);
     }
     bytes.remove_prefix(end + 1);
   }
-  if (!connection.stream.open() || connection.dismissed || connection.leaving) return;
-  rank(connection);
+  if (!connection.stream.open() || connection.ignores_input || connection.half_closed) return;
+  update_rank(connection);
   if (bytes.empty()) return;
-  if (connection.in.size() + bytes.size() > kMostLine || partial_ + bytes.size() > kMostPartial)
-    return dismiss(connection, "a line is too long");
-  if (connection.in.empty() && connection.spoken) {
-    connection.since = now_;
-    watch(connection, now_ + kWhole);
+  if (connection.partial_line.size() + bytes.size() > kMaxLineBytes ||
+      partial_bytes_ + bytes.size() > kMaxPartialBytes)
+    return reject_input(connection, "a line is too long");
+  if (connection.partial_line.empty() && connection.line_received) {
+    connection.timeout_start = now_;
+    arm_timer(connection, now_ + kLineTimeout);
   }
-  partial_ += bytes.size();
-  connection.in.append(bytes);
+  partial_bytes_ += bytes.size();
+  connection.partial_line.append(bytes);
 }
 
-void Front::take_line(Connection& connection, std::string_view line) {
+void Front::on_line(Connection& connection, std::string_view line) {
   if (line.find_first_not_of(" \t\r") == std::string_view::npos) return;
-  connection.spoken = true;
+  connection.line_received = true;
   auto message = parse_rpc(line, names_);
   if (const auto* error = std::get_if<RpcError>(&message)) {
-    strike(connection, rpc_error(error->id, error->code, error->message));
+    count_protocol_error(connection, rpc_error(error->id, error->code, error->message));
   } else if (const auto* health = std::get_if<RpcHealth>(&message)) {
-    connection.stream.write(rpc_health(health->id, green_()));
-  } else if (const auto* cancelled = std::get_if<RpcCancel>(&message)) {
-    cancel(connection, *cancelled);
+    connection.stream.write(rpc_health(health->id, ready_()));
+  } else if (const auto* cancel = std::get_if<RpcCancel>(&message)) {
+    on_cancel(connection, *cancel);
   } else {
     auto& request = std::get<RpcRequest>(message);
-    if (connection.open.contains(request.id)) {
-      return strike(connection, rpc_error(std::nullopt, -32600, "the id is in use"));
+    if (connection.open_requests.contains(request.id)) {
+      return count_protocol_error(connection, rpc_error(std::nullopt, -32600, "the id is in use"));
     }
-    if (connection.open.size() >= kMostOpen) {
-      return strike(connection, rpc_error(request.id, kRpcRejected, "too many open requests"));
+    if (connection.open_requests.size() >= kMaxOpenRequests) {
+      return count_protocol_error(connection, rpc_error(request.id, kRpcRejected, "too many open requests"));
     }
-    connection.asked = true;
-    connection.last_id = std::max(connection.last_id, request.id);
-    const auto client = ++handles_;
-    connection.open[request.id] = client;
-    open_[client] = {connection.serial, request.id, request.asked.ticket};
-    request.asked.client = client;
-    post_(core::RequestArrived{std::move(request.asked)});
+    connection.request_received = true;
+    connection.max_request_id = std::max(connection.max_request_id, request.id);
+    const auto client = ++last_handle_;
+    connection.open_requests[request.id] = client;
+    open_requests_[client] = {connection.id, request.id, request.request.ticket};
+    request.request.client = client;
+    emit_(core::RequestArrived{std::move(request.request)});
   }
 }
 
-void Front::cancel(Connection& connection, const RpcCancel& message) {
-  auto found = connection.open.end();
-  // The call's own id may be that of the request it means.
-  const bool own_id = message.id && *message.id > connection.last_id;
-  if (message.id && !own_id) found = connection.open.find(*message.id);
-  if (message.request && found == connection.open.end()) found = connection.open.find(*message.request);
-  if (found == connection.open.end() && !message.ticket.empty()) {
-    found = std::ranges::find_if(connection.open,
-                                 [&](const auto& o) { return open_.at(o.second).ticket == message.ticket; });
+void Front::on_cancel(Connection& connection, const RpcCancel& message) {
+  auto found = connection.open_requests.end();
+  // The id of the cancel call itself may be that of the request to cancel.
+  const bool own_id = message.id && *message.id > connection.max_request_id;
+  if (message.id && !own_id) found = connection.open_requests.find(*message.id);
+  if (message.request_id && found == connection.open_requests.end())
+    found = connection.open_requests.find(*message.request_id);
+  if (found == connection.open_requests.end() && !message.ticket.empty()) {
+    found = std::ranges::find_if(connection.open_requests, [&](const auto& request) {
+      return open_requests_.at(request.second).ticket == message.ticket;
+    });
   }
-  if (found != connection.open.end()) {
+  if (found != connection.open_requests.end()) {
     const auto client = found->second;
-    connection.open.erase(found);
-    open_.erase(client);
-    post_(core::RequestCancelled{client});
+    connection.open_requests.erase(found);
+    open_requests_.erase(client);
+    emit_(core::RequestCancelled{client});
   }
-  // An id that a request has had gets no answer: it would be a second one.
+  // A call with the id of an earlier request gets no response: it would be the second one for that id.
   if (own_id)
     connection.stream.write("{\"jsonrpc\":\"2.0\",\"id\":" + std::to_string(*message.id) +
                             ",\"result\":true}\n");
 }
 
 bool Front::run(const core::Answer& answer) {
-  const auto found = open_.find(answer.client);
-  if (found == open_.end()) return false;
+  const auto found = open_requests_.find(answer.client);
+  if (found == open_requests_.end()) return false;
   const auto open = std::move(found->second);
-  open_.erase(found);
-  auto& connection = *connections_.at(open.connection);
-  connection.open.erase(open.id);
+  open_requests_.erase(found);
+  auto& connection = *connections_.at(open.connection_id);
+  connection.open_requests.erase(open.request_id);
   switch (answer.kind) {
     case core::AnswerKind::served:
-      connection.stream.write(rpc_result(open.id, answer.body));
+      connection.stream.write(rpc_result(open.request_id, answer.body));
       break;
     case core::AnswerKind::rejected:
-      connection.stream.write(rpc_error(open.id, kRpcRejected, "refused", answer.retry_after));
+      connection.stream.write(rpc_error(open.request_id, kRpcRejected, "refused", answer.retry_after));
       break;
     case core::AnswerKind::failed:
-      connection.stream.write(rpc_error(open.id, kRpcFailed, "failed", answer.retry_after));
+      connection.stream.write(rpc_error(open.request_id, kRpcFailed, "failed", answer.retry_after));
       break;
     case core::AnswerKind::timed_out:
-      connection.stream.write(rpc_error(open.id, kRpcTimedOut, "timed out", answer.retry_after));
+      connection.stream.write(rpc_error(open.request_id, kRpcTimedOut, "timed out", answer.retry_after));
       break;
   }
-  if (connection.open.empty() && connection.ended && connection.stream.unsent_bytes() == 0) {
+  if (connection.open_requests.empty() && connection.input_ended && connection.stream.unsent_bytes() == 0) {
     close(connection);
-  } else if (connection.open.empty() && connection.dismissed) {
-    part(connection);
+  } else if (connection.open_requests.empty() && connection.ignores_input) {
+    half_close(connection);
   } else {
-    rank(connection);
+    update_rank(connection);
   }
   return true;
 }
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -1,4 +1,4 @@
-// The platform's front: clients that speak JSON-RPC over TCP.
+// Server for the platform's clients, which speak JSON-RPC over TCP.
 #pragma once
 
 #include <ev++.h>
@@ -23,83 +23,92 @@
 class Front {
  public:
   using EventSink = std::function<void(core::Event)>;
-  // Clients' handles are drawn from `handles`, which all fronts share.
-  Front(ev::loop_ref loop, net::Fd listening, const config::NameIndex& names, std::size_t most_connections,
-        std::uint64_t& handles, std::function<bool()> green, EventSink post);
+  // `names` must outlive this object. `last_handle` is the last client handle given out; all fronts share it.
+  // `ready`: what a health call is answered with.
+  Front(ev::loop_ref loop, net::Fd listening, const config::NameIndex& names, std::size_t max_connections,
+        std::uint64_t& last_handle, std::function<bool()> ready, EventSink emit);
 
+  // The address that it listens on.
   [[nodiscard]] const std::string& address() const { return address_; }
-  // False: the client is not one of this front's.
+  // Sends the response to a request. Returns false if the client is not one of this front's.
   bool run(const core::Answer& answer);
-  void release_closed() { gone_.clear(); }
+  // Frees closed connections. To be called outside of their handlers.
+  void release_closed() { closed_.clear(); }
+  // Takes over the current monotonic time and handles timeouts.
   void tick(core::Time now);
-  // Takes nothing more: every client is told so by the end of what is written to it, and what it still sends
-  // is read and dropped. unwritten() until all have gone.
+  // Stops accepting connections and requests: the sending side of each connection is closed after the last
+  // response, and further input is read and dropped.
   void stop();
+  // True while output is waiting to be sent; after stop(), until all connections are closed.
   [[nodiscard]] bool has_unsent_output() const;
 
  private:
-  static constexpr std::size_t kMostLine = std::size_t{256} * 1024;
-  static constexpr std::size_t kMostUnwritten = std::size_t{4} << 20;
-  static constexpr std::size_t kMostPartial = std::size_t{4}
-                                              << 20;  // of lines cut in two, all clients together
-  static constexpr unsigned kMostStrikes = 64;        // lines of no use, on one connection
-  static constexpr std::size_t kMostOpen = 32;
+  static constexpr std::size_t kMaxLineBytes = std::size_t{256} * 1024;
+  static constexpr std::size_t kMaxUnsentBytes = std::size_t{4} << 20;
+  // Of the incomplete lines of all clients together.
+  static constexpr std::size_t kMaxPartialBytes = std::size_t{4} << 20;
+  // On one connection.
+  static constexpr unsigned kMaxProtocolErrors = 64;
+  static constexpr std::size_t kMaxOpenRequests = 32;
 
-  // In the order in which they are closed to make room. Busy ones never are.
-  enum class Rank { stranger, idle, busy };
+  // Connections are closed to make room in this order, busy ones never. unidentified: has sent no valid
+  // request, or is half-closed by this side.
+  enum class EvictionRank { unidentified, idle, busy };
   struct Connection {
-    std::uint64_t serial = 0;
+    std::uint64_t id = 0;
     net::Stream stream;
-    std::string in;
-    std::uint64_t last_id = 0;  // of its requests
-    bool ended = false;         // the client writes no more
-    bool spoken = false;        // a whole line has come
-    bool asked = false;         // a request was taken
-    bool dismissed = false;     // what comes is dropped
-    bool leaving = false;       // and nothing more is written
-    bool watched = false;       // a timer is armed for it
-    unsigned strikes = 0;
-    core::Time since{};  // it was accepted, the line that is not whole began, or its last word was said
-    Rank rank = Rank::stranger;
-    std::list<Connection*>::iterator place;
-    std::unordered_map<std::uint64_t, core::ClientHandle> open;  // by the client's id
-    Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMostUnwritten) {}
+    std::string partial_line;
+    std::uint64_t max_request_id = 0;
+    bool input_ended = false;       // the client has closed its sending side
+    bool line_received = false;     // a complete line has been received
+    bool request_received = false;  // a request has been accepted
+    bool ignores_input = false;     // further input is dropped
+    bool half_closed = false;       // and nothing more is sent
+    bool timer_armed = false;
+    unsigned protocol_errors = 0;
+    core::Time timeout_start{};  // when it was accepted, the incomplete line began, or it was half-closed
+    EvictionRank rank = EvictionRank::unidentified;
+    std::list<Connection*>::iterator rank_position;
+    std::unordered_map<std::uint64_t, core::ClientHandle> open_requests;  // by the client's request id
+    Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMaxUnsentBytes) {}
   };
-  struct Open {
-    std::uint64_t connection = 0, id = 0;
+  struct OpenRequest {
+    std::uint64_t connection_id = 0, request_id = 0;
     std::string ticket;
   };
 
   void accept(net::Fd fd);
-  void take(Connection& connection, std::string_view bytes);
-  void take_line(Connection& connection, std::string_view line);
-  void cancel(Connection& connection, const RpcCancel& message);
+  void on_data(Connection& connection, std::string_view bytes);
+  void on_line(Connection& connection, std::string_view line);
+  void on_cancel(Connection& connection, const RpcCancel& message);
   void close(Connection& connection);
-  // The client's last word from here.
-  void dismiss(Connection& connection, std::string_view why);
-  // Nothing more is written once all has left; closed when the client does so too, or has had time to read.
-  void part(Connection& connection);
-  void strike(Connection& connection, const std::string& reply);
-  void watch(Connection& connection, core::Time until);
-  void rank(Connection& connection);
+  // Sends an error, drops further input, and half-closes the connection once its open requests are answered.
+  void reject_input(Connection& connection, std::string_view reason);
+  // Closes the sending side after all output has been sent. The connection is closed when the client closes
+  // its side too, or after kLingerTimeout.
+  void half_close(Connection& connection);
+  // Sends the error response to an invalid line; too many of them end the connection.
+  void count_protocol_error(Connection& connection, const std::string& response);
+  void arm_timer(Connection& connection, core::Time at);
+  void update_rank(Connection& connection);
   bool make_room();
 
   bool stopped_ = false;
   ev::loop_ref loop_;
   const config::NameIndex& names_;
-  std::size_t most_connections_;
-  std::uint64_t& handles_;
-  std::function<bool()> green_;
-  EventSink post_;
-  std::string address_;  // where it listens
+  std::size_t max_connections_;
+  std::uint64_t& last_handle_;
+  std::function<bool()> ready_;
+  EventSink emit_;
+  std::string address_;
   std::optional<net::Listener> listener_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::unordered_map<core::ClientHandle, Open> open_;
-  std::vector<std::unique_ptr<Connection>> gone_;
-  std::array<std::list<Connection*>, 3> ranks_;  // by Rank, the one longest there in front
-  core::TimerWheel<std::uint64_t> watches_{std::chrono::milliseconds(5)};
-  std::size_t partial_ = 0;  // bytes of lines cut in two
-  std::uint64_t serial_ = 0;
+  std::unordered_map<core::ClientHandle, OpenRequest> open_requests_;
+  std::vector<std::unique_ptr<Connection>> closed_;
+  std::array<std::list<Connection*>, 3> by_rank_;  // by EvictionRank, the longest in that rank in front
+  core::TimerWheel<std::uint64_t> timers_{std::chrono::milliseconds(5)};
+  std::size_t partial_bytes_ = 0;  // in the incomplete lines of all clients
+  std::uint64_t last_connection_id_ = 0;
   core::Time now_{};
 };
 
--- a/src/platform/peers.cpp
+++ b/src/platform/peers.cpp
@@ -9,14 +9,15 @@
 
 namespace bellstair::platform {
 namespace {
-constexpr std::size_t kMostBytes = 256;  // a longer datagram voids all
-}
+// Limit set by the platform: a single longer datagram invalidates everything.
+constexpr std::size_t kMaxDatagramBytes = 256;
+}  // namespace
 
-Peers::Peers(ev::loop_ref loop, const config::Config& config, EventSink post)
+Peers::Peers(ev::loop_ref loop, const config::Config& config, EventSink emit)
     : io_(loop),
-      all_(net::parse_address(config.peers_all)),
-      me_(config.settings.gateway_index),
-      post_(std::move(post)) {
+      all_peers_(net::parse_address(config.peers_all)),
+      own_index_(config.settings.gateway_index),
+      emit_(std::move(emit)) {
   for (const auto& peer : config.peers) peers_.push_back(net::parse_address(peer).value_or(sockaddr_in{}));
   const auto at = net::parse_address(config.peer_listen);
   if (!at) return;
@@ -31,33 +32,34 @@
 }
 
 void Peers::run(const core::SendToPeers& effect) {
-  if (!fd_ || effect.bytes.size() > kMostBytes) return;
-  const auto send = [&](const sockaddr_in& to) {
+  if (!fd_ || effect.bytes.size() > kMaxDatagramBytes) return;
+  const auto send = [&](const sockaddr_in& address) {
     ::sendto(fd_.get(), effect.bytes.data(), effect.bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL,
-             reinterpret_cast<const sockaddr*>(&to), sizeof to);  // lost is lost
+             reinterpret_cast<const sockaddr*>(&address),
+             sizeof address);  // a lost datagram is not sent again
   };
   if (!effect.to) {
-    if (all_) send(*all_);
-  } else if (*effect.to < peers_.size() && *effect.to != me_) {
+    if (all_peers_) send(*all_peers_);
+  } else if (*effect.to < peers_.size() && *effect.to != own_index_) {
     send(peers_[*effect.to]);
   }
 }
 
 void Peers::on_io(ev::io&, int) {
-  std::array<char, kMostBytes + 1> buffer{};
+  std::array<char, kMaxDatagramBytes + 1> buffer{};
   for (int i = 0; i < 64; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
-    const auto got = ::recvfrom(fd_.get(), buffer.data(), buffer.size(), MSG_DONTWAIT,
-                                reinterpret_cast<sockaddr*>(&from), &size);
-    if (got < 0) return;
-    if (static_cast<std::size_t>(got) > kMostBytes) continue;
-    for (std::size_t n = 0; n < peers_.size(); ++n) {
-      if (n == me_ || peers_[n].sin_addr.s_addr != from.sin_addr.s_addr ||
-          peers_[n].sin_port != from.sin_port)
+    const auto received = ::recvfrom(fd_.get(), buffer.data(), buffer.size(), MSG_DONTWAIT,
+                                     reinterpret_cast<sockaddr*>(&from), &size);
+    if (received < 0) return;
+    if (static_cast<std::size_t>(received) > kMaxDatagramBytes) continue;
+    for (std::size_t index = 0; index < peers_.size(); ++index) {
+      if (index == own_index_ || peers_[index].sin_addr.s_addr != from.sin_addr.s_addr ||
+          peers_[index].sin_port != from.sin_port)
         continue;
-      post_(core::PeerMessageReceived{static_cast<std::uint32_t>(n),
-                                      {buffer.data(), static_cast<std::size_t>(got)}});
+      emit_(core::PeerMessageReceived{static_cast<std::uint32_t>(index),
+                                      {buffer.data(), static_cast<std::size_t>(received)}});
       break;
     }
   }
--- a/src/platform/peers.hpp
+++ b/src/platform/peers.hpp
@@ -12,10 +12,14 @@
 
 namespace bellstair::platform {
 
+// Sends and receives UDP datagrams between the brokers of the configuration. Delivery is not guaranteed.
+// Datagrams from addresses that are not in the configuration are ignored.
 class Peers {
  public:
   using EventSink = std::function<void(core::Event)>;
-  Peers(ev::loop_ref loop, const config::Config& config, EventSink post);
+  // If the address can't be bound, the error is logged and nothing is sent or received.
+  Peers(ev::loop_ref loop, const config::Config& config, EventSink emit);
+  // Sends to one peer, or to all of them by the address `peers_all` of the configuration.
   void run(const core::SendToPeers& effect);
 
  private:
@@ -23,9 +27,9 @@
   ev::io io_;
   net::Fd fd_;
   std::vector<sockaddr_in> peers_;
-  std::optional<sockaddr_in> all_;
-  std::size_t me_;
-  EventSink post_;
+  std::optional<sockaddr_in> all_peers_;
+  std::size_t own_index_;
+  EventSink emit_;
 };
 
 }  // namespace bellstair::platform
