--- a/src/net/pool.hpp
+++ b/src/net/pool.hpp
@@ -1,5 +1,4 @@
-// Pool of connections to the engines: at most one call at a time on each, and one
-// limit for all engines together.
+// Pool of connections to the engines, with at most one call at a time on each and one limit for all engines.
 #pragma once
 
 #include <ev++.h>
@@ -24,6 +23,7 @@
   virtual ~Session() = default;
 };
 
+// Opens connections as calls request them, reuses idle ones, and evicts idle ones when the limit is reached.
 class ConnectionPool {
  public:
   struct Connection {
@@ -55,8 +55,7 @@
 
   ConnectionPool(ev::loop_ref loop, Limits limits, Handshake handshake = {});
 
-  // Sets where the engine listens, and allows connections to it. Idle connections
-  // to another address are closed.
+  // Sets where the engine listens and allows connections to it. Idle ones to another address are closed.
   void set_address(std::uint32_t engine, const std::string& address);
   // Closes the engine's idle connections and opens no new ones; pending requests receive nullptr.
   void remove_engine(std::uint32_t engine);
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -40,8 +40,8 @@
   int fd_ = -1;
 };
 
-// The functions that return an Fd open non-blocking sockets; on an error they return
-// an empty Fd and leave errno set.
+// The functions below that return an Fd open non-blocking sockets. On an error they return an empty Fd and
+// leave errno set.
 
 // A TCP socket that listens on the address.
 [[nodiscard]] Fd listen_tcp(const sockaddr_in& address);
@@ -49,8 +49,8 @@
 [[nodiscard]] std::string local_address(int fd);
 // A UDP socket bound to the address.
 [[nodiscard]] Fd bind_udp(const sockaddr_in& address);
-// A TCP socket that is connecting to the address. The outcome is known once it is
-// writable, see connect_error().
+// A TCP socket that is connecting to the address. The outcome is known once it is writable, see
+// connect_error().
 [[nodiscard]] Fd begin_connect(const sockaddr_in& address);
 
 // True if the errno value means that the process or the system is out of file descriptors.
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,4 +1,4 @@
-// Non-blocking TCP on the event loop: streams with a bounded output buffer, and a listener.
+// Non-blocking TCP on the event loop: streams with a bounded output buffer, and a listener. Single-threaded.
 #pragma once
 
 #include <ev++.h>
--- a/src/platform/changelog.hpp
+++ b/src/platform/changelog.hpp
@@ -1,5 +1,4 @@
-// Client of the change log, which publishes the membership of the fleet: polls for
-// events after the last one known.
+// Client of the change log, which publishes the membership of the fleet.
 #pragma once
 
 #include <ev++.h>
@@ -18,6 +17,8 @@
 
 namespace bellstair::platform {
 
+// Long-polls the change log for events after the last one known, and emits a MembershipChange for each. Emits
+// DiscoveryIdle when there are no more events, or when a request fails; it reconnects after failures.
 class ChangeLog {
  public:
   // Wait for new events that a long poll requests. What a change log that has stopped would have reported
@@ -34,8 +35,7 @@
   ChangeLog(ev::loop_ref loop, std::string address, const config::NameIndex& names, std::uint64_t last_seq,
             net::EventSink emit);
 
-  // Continues at another address, from the same event number; a pending request
-  // is dropped and repeated there.
+  // Continues at another address, from the same event number. A pending request is repeated there.
   void set_address(const std::string& address);
   // Takes over the current monotonic time; starts connections and requests and handles timeouts.
   void tick(core::Time now);
@@ -60,10 +60,10 @@
   Stage stage_ = Stage::disconnected;
   HttpResponseParser parser_{kMaxBodyBytes};
   std::unique_ptr<net::Stream> stream_;
-  std::vector<std::unique_ptr<net::Stream>>
-      closed_;                   // freed later, when none of their handlers can be running
+  // Freed later, when none of their handlers can be running.
+  std::vector<std::unique_ptr<net::Stream>> closed_;
   bool caught_up_ = false;       // the last response held no new events
-  bool failure_logged_ = false;  // and no response has been received since
+  bool failure_logged_ = false;  // a failure was logged, and no valid response has been received since
   core::Time now_{}, due_{};     // due_: when the stage times out, or when its next action may begin
 };
 
--- a/src/platform/engines.hpp
+++ b/src/platform/engines.hpp
@@ -1,5 +1,4 @@
-// Client of engines that speak HTTP: submits queries, polls them until they end,
-// and fetches their result pages.
+// Client of engines that speak HTTP.
 #pragma once
 
 #include <ev++.h>
@@ -18,6 +17,8 @@
 
 namespace bellstair::platform {
 
+// Submits queries, polls them until they end, and fetches their result pages. An attempt may use several
+// connections one after another; a query is submitted once only.
 class Engines : public net::EngineDriver {
  public:
   // `class_names`: by class index. `load_fields`: the fields of load reports, in the
@@ -89,15 +90,13 @@
   bool append_page(Attempt& attempt, HttpResponse& response);
   // Reports the outcome and forgets the attempt.
   void end_attempt(core::AttemptId id, core::AttemptOutcome outcome);
-  // Ends the attempt with the outcome once the engine has answered a DELETE, or has ended the query by
-  // itself.
+  // Ends the attempt with the outcome once the engine has answered a DELETE or has ended the query by itself.
   void cancel_query(core::AttemptId id, core::AttemptOutcome outcome);
   void send_delete(core::AttemptId id);
   // To be called when the engine reports that it does not know the query. Returns false if that proves
   // nothing yet, because the statement may still be in transit.
   bool confirm_unknown(Attempt& attempt) const;
-  // Ends the attempt if its engine must have ended the query by now, and returns
-  // true; else checks again later.
+  // Ends the attempt and returns true if its engine must have ended the query by now; else it checks later.
   bool end_if_expired(core::AttemptId id);
   void release_connection(Connection& connection);
   // Releases the attempt's connection, unless a call is in flight on it.
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -20,6 +20,9 @@
 
 namespace bellstair::platform {
 
+// Parses the clients' lines and emits RequestArrived, RequestCancelled and ClientHalfClosed. A connection may
+// have several requests open. It ends after too many invalid lines, or one that is too long or incomplete for
+// too long.
 class Front {
  public:
   using EventSink = std::function<void(core::Event)>;
--- a/src/platform/jsonrpc.hpp
+++ b/src/platform/jsonrpc.hpp
@@ -42,8 +42,8 @@
 
 // Parses one line. `names` holds the classes and tenants of the configuration.
 [[nodiscard]] RpcMessage parse_rpc(std::string_view line, const config::NameIndex& names);
-// Format responses, each with its line feed. `body` is sent as base64; `retry_after` only if
-// it is positive, in milliseconds.
+// Format responses, each with its line feed. `body` is sent as base64; `retry_after` in milliseconds, and
+// only if it is positive.
 [[nodiscard]] std::string rpc_result(std::uint64_t id, std::string_view body);
 [[nodiscard]] std::string rpc_health(std::uint64_t id, bool ready);
 [[nodiscard]] std::string rpc_error(std::optional<std::uint64_t> id, int code, std::string_view message,
