--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -45,7 +45,7 @@
 TEST(Http, ReadsAResponseInPieces) {
   const auto bytes =
       "HTTP/1.1 200 OK\r\nResult-Pages: 3\r\nX-Meter: a:1;b:x;c:0.5\r\nContent-Length: 4\r\n\r\na\tb\n"s;
-  platform::HttpReader reader(100);
+  platform::HttpResponseParser reader(100);
   for (const char c : bytes) {
     ASSERT_FALSE(reader.complete());
     ASSERT_TRUE(reader.feed({&c, 1}));
@@ -55,7 +55,7 @@
   EXPECT_EQ(response.status, 200U);
   EXPECT_EQ(response.number("result-pages"), 3);
   EXPECT_EQ(response.body, "a\tb\n");
-  const auto meter = platform::parse_meter(response.header("x-meter"));
+  const auto meter = platform::parse_load_header(response.header("x-meter"));
   EXPECT_EQ(meter.size(), 2U);
   EXPECT_EQ(meter.at("c"), 0.5);
 }
@@ -67,7 +67,7 @@
                                     {kValid + "x", false},
                                     {kValid + kValid, false},
                                     {"HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n"s, true}}) {
-    platform::HttpReader reader(100);
+    platform::HttpResponseParser reader(100);
     EXPECT_TRUE(reader.feed(bytes));
     ASSERT_TRUE(reader.complete()) << bytes;
     const auto response = reader.take();
@@ -86,10 +86,10 @@
           return out;
         }(),
         "HTTP/1.1 200 OK\r\nA: " + std::string(20000, 'x')}) {
-    platform::HttpReader reader(100);
+    platform::HttpResponseParser reader(100);
     EXPECT_FALSE(reader.feed(bad)) << bad.substr(0, 40);
   }
-  platform::HttpReader truncated(100);
+  platform::HttpResponseParser truncated(100);
   EXPECT_TRUE(truncated.feed("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc"));
   EXPECT_FALSE(truncated.finish());  // a truncated body is an error
 }
