--- a/src/mysql/front.cpp
+++ b/src/mysql/front.cpp
@@ -13,15 +13,16 @@
 using namespace std::chrono_literals;
 
 constexpr const char* kVersion = "8.0.0-bellstair";
-constexpr std::uint32_t kOffered = kLongPassword | kConnectWithDb | kProtocol41 | kTransactions |
-                                   kSecureConnection | kPluginAuth | kConnectAttributes | kLenencAuth |
-                                   kQueryAttributes;
-constexpr core::Time kLoginTime = 10s;
-constexpr std::size_t kMostBuffered = std::size_t{2} << 20;  // of what a client sends ahead
-constexpr std::size_t kPlatformColumns = 3;                  // of the platform's results
-constexpr std::uint8_t kSwitch = 0xfe, kMore = 0x01, kFastDone = 0x03;
-
-// 20 bytes that no client can foresee, free of zeros, which end a text on this wire.
+constexpr std::uint32_t kServerCapabilities = kLongPassword | kConnectWithDb | kProtocol41 | kTransactions |
+                                              kSecureConnection | kPluginAuth | kConnectAttributes |
+                                              kLenencAuth | kQueryAttributes;
+constexpr core::Time kLoginTimeout = 10s;
+constexpr std::size_t kMaxBuffered = std::size_t{2} << 20;  // bytes of unprocessed input; then reading pauses
+constexpr std::size_t kPlatformColumns = 3;  // columns of an empty result of the platform's engines
+// First bytes of authentication packets, and the state of caching_sha2_password after a match.
+constexpr std::uint8_t kAuthSwitch = 0xfe, kAuthMoreData = 0x01, kFastAuthSuccess = 0x03;
+
+// 20 unpredictable bytes, none of them zero, since the nonce is sent as a zero-terminated string.
 std::string new_nonce() {
   std::string out(20, '\0');
   RAND_bytes(reinterpret_cast<unsigned char*>(out.data()), static_cast<int>(out.size()));
@@ -29,43 +30,43 @@
   return out;
 }
 
-Error denied(const std::string& user) {
+Error access_denied(const std::string& user) {
   return {kAccessDenied, "28000", "access denied for user '" + user + "'"};
 }
 
-std::string switch_to(const char* plugin, const std::string& nonce) {
-  return Writer().u8(kSwitch).null_string(plugin).null_string(nonce).release();
+std::string auth_switch_request(const char* plugin, const std::string& nonce) {
+  return Writer().u8(kAuthSwitch).null_string(plugin).null_string(nonce).release();
 }
 
 }  // namespace
 
 Front::Front(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config,
              const config::NameIndex& names, const heronwell::Settings& settings, Options options,
-             std::uint64_t& handles, std::uint64_t seed, Post post)
+             std::uint64_t& last_client_handle, std::uint64_t seed, EventSink post)
     : loop_(loop),
       config_(config),
       names_(names),
       settings_(settings),
       options_(std::move(options)),
-      handles_(handles),
-      tickets_(seed),
+      last_client_handle_(last_client_handle),
+      ticket_random_(seed),
       post_(std::move(post)),
       listener_(loop, std::move(listening), [this](net::Fd fd) { accept(std::move(fd)); }) {}
 
 void Front::accept(net::Fd fd) {
   if (connections_.size() >= options_.most_connections) return;
-  auto made = std::make_unique<Connection>(loop_, std::move(fd));
-  auto& connection = *made;
-  connection.serial = ++serial_;
+  auto created = std::make_unique<Connection>(loop_, std::move(fd));
+  auto& connection = *created;
+  connection.serial = ++last_serial_;
   connection.nonce = new_nonce();
-  connections_.emplace(connection.serial, std::move(made));
+  connections_.emplace(connection.serial, std::move(created));
   connection.stream.set_handlers({
       .connected = {},
       .data =
           [this, &connection](std::string_view bytes) {
             connection.reader.feed(bytes);
-            if (connection.reader.buffered() > kMostBuffered) connection.stream.pause_reading(true);
-            take(connection);
+            if (connection.reader.buffered() > kMaxBuffered) connection.stream.pause_reading(true);
+            process_input(connection);
           },
       .end_of_input = [this, &connection] { close(connection); },
       .closed = [this, &connection] { close(connection); },
@@ -74,110 +75,116 @@
             if (connection.closing) close(connection);
           },
   });
-  logins_.arm(now_ + kLoginTime, connection.serial);
+  login_timers_.arm(now_ + kLoginTimeout, connection.serial);
   Greeting greeting{kVersion, connection.nonce, kCachingSha2, static_cast<std::uint32_t>(connection.serial),
-                    kOffered};
+                    kServerCapabilities};
   send(connection, write_greeting(greeting));
 }
 
 void Front::tick(core::Time now) {
   now_ = now;
-  logins_.advance(now, [this](std::uint64_t serial) {
+  login_timers_.advance(now, [this](std::uint64_t serial) {
     const auto found = connections_.find(serial);
     if (found != connections_.end() && found->second->phase < Phase::idle) close(*found->second);
   });
 }
 
-// One command at a time: what a client sends ahead stays where it is until the answer has gone out.
-void Front::take(Connection& connection) {
-  if (connection.taking) return;
-  connection.taking = true;
+// One command at a time: pipelined commands wait until the current one is answered.
+void Front::process_input(Connection& connection) {
+  if (connection.processing) return;
+  connection.processing = true;
   try {
     while (connection.stream.open() && !connection.closing && connection.phase != Phase::running &&
-           connection.phase != Phase::looked_up) {
+           connection.phase != Phase::directory_lookup) {
       const auto packet = connection.reader.next();
       if (!packet) break;
-      take(connection, *packet);
+      process_packet(connection, *packet);
     }
   } catch (const Malformed& error) {
-    // Where the next packet begins can't be told any more.
+    // The start of the next packet is unknown from here on.
     connection.sequence = 1;
-    refuse(connection, {kMalformedPacket, "HY000", error.what()});
+    close_with_error(connection, {kMalformedPacket, "HY000", error.what()});
   }
-  connection.taking = false;
-  if (connection.stream.open() && connection.reader.buffered() <= kMostBuffered)
+  connection.processing = false;
+  if (connection.stream.open() && connection.reader.buffered() <= kMaxBuffered)
     connection.stream.pause_reading(false);
 }
 
-void Front::take(Connection& connection, const Packet& packet) {
+void Front::process_packet(Connection& connection, const Packet& packet) {
   connection.sequence = static_cast<std::uint8_t>(packet.sequence + 1);
   switch (connection.phase) {
-    case Phase::login:
-      return log_in(connection, packet.payload);
-    case Phase::switched:
+    case Phase::awaiting_login:
+      return handle_login(connection, packet.payload);
+    case Phase::awaiting_auth_switch:
       return check_password(connection, packet.payload, kNativePassword);
-    case Phase::clear_password: {
+    case Phase::awaiting_clear_password: {
       auto password = packet.payload;
       if (!password.empty() && password.back() == '\0') password.pop_back();
-      return look_up(connection, password);
+      return look_up_user(connection, password);
     }
     case Phase::idle:
       if (packet.sequence != 0) throw Malformed("a command out of sequence");
-      return command(connection, packet.payload);
-    case Phase::looked_up:
+      return handle_command(connection, packet.payload);
+    case Phase::directory_lookup:
     case Phase::running:
       return;
   }
 }
 
-// ---- who it is
-
-void Front::log_in(Connection& connection, const std::string& payload) {
-  auto login = read_login(payload);
-  connection.capabilities = login.capabilities & kOffered;
-  connection.user = login.user;
-  const bool ours = std::ranges::any_of(config_.users, [&](const auto& u) { return u.name == login.user; });
-  if (!ours && options_.lookup) {
-    // A directory takes the password as it is; this front listens on the loopback only.
-    connection.phase = Phase::clear_password;
-    return send(connection, switch_to(kClearPassword, connection.nonce));
+// ---- login
+
+void Front::handle_login(Connection& connection, const std::string& payload) {
+  auto request = read_login(payload);
+  connection.capabilities = request.capabilities & kServerCapabilities;
+  connection.user = request.user;
+  const bool is_configured =
+      std::ranges::any_of(config_.users, [&](const auto& u) { return u.name == request.user; });
+  if (!is_configured && options_.lookup) {
+    // A directory needs the password in clear text. The configuration ensures that this front then listens on
+    // a loopback address only.
+    connection.phase = Phase::awaiting_clear_password;
+    return send(connection, auth_switch_request(kClearPassword, connection.nonce));
   }
-  if (login.plugin == kCachingSha2 || login.plugin == kNativePassword)
-    return check_password(connection, login.auth_response, login.plugin);
-  connection.phase = Phase::switched;
-  send(connection, switch_to(kNativePassword, connection.nonce));
+  if (request.plugin == kCachingSha2 || request.plugin == kNativePassword)
+    return check_password(connection, request.auth_response, request.plugin);
+  connection.phase = Phase::awaiting_auth_switch;
+  send(connection, auth_switch_request(kNativePassword, connection.nonce));
 }
 
-void Front::check_password(Connection& connection, const std::string& answer, const std::string& plugin) {
+void Front::check_password(Connection& connection, const std::string& auth_response,
+                           const std::string& plugin) {
   const auto user = std::ranges::find(config_.users, connection.user, &config::MysqlUser::name);
-  if (user == config_.users.end()) return refuse(connection, denied(connection.user));
+  if (user == config_.users.end()) return close_with_error(connection, access_denied(connection.user));
   const bool sha2 = plugin == kCachingSha2;
   const auto expected = sha2 ? sha2_auth_response(user->password, connection.nonce)
                              : native_auth_response(user->password, connection.nonce);
-  // An empty password goes as no bytes, or as a lone zero.
-  const auto given = answer == std::string(1, '\0') ? std::string() : answer;
-  if (!constant_time_equal(given, expected)) return refuse(connection, denied(connection.user));
-  if (sha2 && !expected.empty()) send(connection, Writer().u8(kMore).u8(kFastDone).release());
-  let_in(connection, names_.tenants.at(user->tenant));
+  // Clients send an empty password as no bytes or as a single zero.
+  const auto response = auth_response == std::string(1, '\0') ? std::string() : auth_response;
+  if (!constant_time_equal(response, expected))
+    return close_with_error(connection, access_denied(connection.user));
+  if (sha2 && !expected.empty()) send(connection, Writer().u8(kAuthMoreData).u8(kFastAuthSuccess).release());
+  accept_login(connection, names_.tenants.at(user->tenant));
 }
 
-void Front::look_up(Connection& connection, const std::string& password) {
-  connection.phase = Phase::looked_up;
+void Front::look_up_user(Connection& connection, const std::string& password) {
+  connection.phase = Phase::directory_lookup;
   const auto serial = connection.serial;
   options_.lookup(connection.user, password, [this, serial](directory::LookupResult result) {
     const auto found = connections_.find(serial);
     if (found == connections_.end()) return;
-    auto& asker = *found->second;
-    if (result.status == directory::LookupResult::Status::denied) return refuse(asker, denied(asker.user));
+    auto& waiting_connection = *found->second;
+    if (result.status == directory::LookupResult::Status::denied)
+      return close_with_error(waiting_connection, access_denied(waiting_connection.user));
     if (result.status == directory::LookupResult::Status::unavailable)
-      return refuse(asker,
-                    {kDirectoryDown, "HY000", "the directory of users can't be reached; try again later"});
-    let_in(asker, result.tenant);
-    take(asker);
+      return close_with_error(
+          waiting_connection,
+          {kDirectoryDown, "HY000", "the directory of users can't be reached; try again later"});
+    accept_login(waiting_connection, result.tenant);
+    process_input(waiting_connection);
   });
 }
 
-void Front::let_in(Connection& connection, std::uint32_t tenant) {
+void Front::accept_login(Connection& connection, std::uint32_t tenant) {
   connection.tenant = tenant;
   connection.phase = Phase::idle;
   send(connection, write_ok());
@@ -185,7 +192,7 @@
 
 // ---- commands
 
-void Front::command(Connection& connection, const std::string& payload) {
+void Front::handle_command(Connection& connection, const std::string& payload) {
   if (payload.empty()) throw Malformed("an empty command");
   switch (static_cast<std::uint8_t>(payload[0])) {
     case kQuit:
@@ -194,12 +201,12 @@
       return send(connection, write_ok());
     case kQuery: {
       const auto query = read_query(payload, connection.attributes());
-      return start(connection, query.text, {}, query.attributes, false);
+      return start_request(connection, query.text, {}, query.attributes, false);
     }
     case kPrepare:
-      return prepare(connection, payload.substr(1));
+      return handle_prepare(connection, payload.substr(1));
     case kExecute:
-      return execute(connection, payload);
+      return handle_execute(connection, payload);
     case kResetStatement: {
       if (!connection.statements.contains(read_statement_id(payload)))
         return send_error(connection, {kUnknownStatement, "HY000", "unknown prepared statement"});
@@ -207,19 +214,19 @@
     }
     case kCloseStatement:
       connection.statements.erase(read_statement_id(payload));
-      return;  // nothing answers it
+      return;  // has no response
     default:
       return send_error(connection, {kUnknownCommand, "08S01", "unknown command"});
   }
 }
 
-// Statements belong to the broker: an engine comes to know them when an attempt is sent to it.
-void Front::prepare(Connection& connection, std::string text) {
+// Only the broker prepares the statement here; engines prepare it when an attempt is sent to them.
+void Front::handle_prepare(Connection& connection, std::string text) {
   if (sql::first_keyword(text).empty())
     return send_error(connection, {kEmptyQuery, "42000", "the query was empty"});
-  if (connection.statements.size() >= kMostStatements)
+  if (connection.statements.size() >= kMaxStatements)
     return send_error(connection, {1461, "42000", "too many prepared statements on this connection"});
-  const auto id = ++connection.last_statement;
+  const auto id = ++connection.last_statement_id;
   auto& statement = connection.statements[id];
   statement.parameters = sql::placeholder_positions(text).size();
   statement.text = std::move(text);
@@ -229,51 +236,53 @@
   send(connection, write_eof());
 }
 
-void Front::execute(Connection& connection, const std::string& payload) {
+void Front::handle_execute(Connection& connection, const std::string& payload) {
   const auto found = connection.statements.find(read_statement_id(payload));
   if (found == connection.statements.end())
     return send_error(connection, {kUnknownStatement, "HY000", "unknown prepared statement"});
   auto& statement = found->second;
-  const auto execute = read_execute(payload, statement.parameters, connection.attributes(), statement.types);
-  start(connection, statement.text, execute.values, execute.attributes, true);
+  const auto request = read_execute(payload, statement.parameters, connection.attributes(), statement.types);
+  start_request(connection, statement.text, request.values, request.attributes, true);
 }
 
-void Front::start(Connection& connection, std::string_view text, const std::vector<sql::Value>& values,
-                  const std::vector<Attribute>& attributes, bool binary) {
+void Front::start_request(Connection& connection, std::string_view text,
+                          const std::vector<sql::Value>& values, const std::vector<Attribute>& attributes,
+                          bool binary_result) {
   const auto word = sql::first_keyword(text);
   if (word.empty()) return send_error(connection, {kEmptyQuery, "42000", "the query was empty"});
-  // What drivers set when they connect is about a session, and a broker has none.
+  // Drivers set session variables when they connect. The broker keeps no session state and ignores
+  // them.
   if (word == "set") return send(connection, write_ok());
   try {
-    auto asked = map_statement(text, values, attributes, connection.tenant, names_, settings_);
+    auto request = map_statement(text, values, attributes, connection.tenant, names_, settings_);
     char ticket[17];
-    std::snprintf(ticket, sizeof ticket, "%016llx", static_cast<unsigned long long>(tickets_()));
-    asked.ticket = ticket;
-    asked.client = ++handles_;
+    std::snprintf(ticket, sizeof ticket, "%016llx", static_cast<unsigned long long>(ticket_random_()));
+    request.ticket = ticket;
+    request.client = ++last_client_handle_;
     connection.phase = Phase::running;
-    connection.client = asked.client;
-    connection.binary = binary;
-    connection.reads = word == "select" || word == "with" || word == "show";
-    running_[asked.client] = connection.serial;
-    post_(core::RequestArrived{std::move(asked)});
-  } catch (const MappingError& failure) {
-    send_error(connection, failure.error);
+    connection.request_client = request.client;
+    connection.binary_result = binary_result;
+    connection.is_read = word == "select" || word == "with" || word == "show";
+    running_requests_[request.client] = connection.serial;
+    post_(core::RequestArrived{std::move(request)});
+  } catch (const MappingError& error) {
+    send_error(connection, error.error);
   }
 }
 
 bool Front::run(const core::Answer& answer) {
-  const auto found = running_.find(answer.client);
-  if (found == running_.end()) return false;
+  const auto found = running_requests_.find(answer.client);
+  if (found == running_requests_.end()) return false;
   auto& connection = *connections_.at(found->second);
-  running_.erase(found);
-  connection.client = 0;
+  running_requests_.erase(found);
+  connection.request_client = 0;
   connection.phase = Phase::idle;
   if (answer.kind == core::AnswerKind::served) {
     write_result(connection, answer);
   } else {
     send_error(connection, to_error(answer));
   }
-  take(connection);
+  process_input(connection);
   return true;
 }
 
@@ -281,9 +290,9 @@
   const auto rows = parse_rows(answer.body, options_.escaped_rows);
   auto schema = decode_schema(answer.result_schema);
   if (!schema) {
-    // The platform's engines tell rows only: columns have no names, and a write without rows is merely done.
+    // The platform's engines return rows only: columns get generated names, and a write without rows is OK.
     schema.emplace();
-    schema->has_rows = !rows.empty() || connection.reads;
+    schema->has_rows = !rows.empty() || connection.is_read;
     const auto columns = rows.empty() ? kPlatformColumns : rows.front().size();
     for (std::size_t i = 0; i < columns; ++i)
       schema->column_names.push_back("column_" + std::to_string(i + 1));
@@ -304,11 +313,11 @@
   for (const auto& name : schema->column_names) send(connection, write_column(name, kTypeVarString));
   send(connection, write_eof());
   for (const auto& row : rows)
-    send(connection, connection.binary ? write_binary_row(row) : write_text_row(row));
+    send(connection, connection.binary_result ? write_binary_row(row) : write_text_row(row));
   send(connection, write_eof());
 }
 
-// ---- bytes
+// ---- output
 
 void Front::send(Connection& connection, std::string_view payload) {
   connection.stream.write(frame(connection.sequence++, payload));
@@ -316,21 +325,21 @@
 
 void Front::send_error(Connection& connection, const Error& error) { send(connection, write_error(error)); }
 
-void Front::refuse(Connection& connection, const Error& error) {
+void Front::close_with_error(Connection& connection, const Error& error) {
   send_error(connection, error);
   connection.closing = true;
   if (connection.stream.unsent_bytes() == 0) close(connection);
 }
 
 void Front::close(Connection& connection) {
-  if (connection.client != 0) {
-    running_.erase(connection.client);
-    post_(core::RequestCancelled{connection.client});
+  if (connection.request_client != 0) {
+    running_requests_.erase(connection.request_client);
+    post_(core::RequestCancelled{connection.request_client});
   }
   connection.stream.close();
   const auto found = connections_.find(connection.serial);
   if (found == connections_.end()) return;
-  gone_.push_back(std::move(found->second));
+  closed_.push_back(std::move(found->second));
   connections_.erase(found);
 }
 
--- a/src/mysql/front.hpp
+++ b/src/mysql/front.hpp
@@ -1,4 +1,5 @@
-// The second front: clients that speak the MySQL protocol, with prepared statements.
+// The front for clients that speak the MySQL protocol. It authenticates them and turns their statements,
+// plain and prepared, into requests.
 #pragma once
 
 #include <ev++.h>
@@ -22,29 +23,46 @@
 
 namespace bellstair::mysql {
 
+// Listens for MySQL clients. The references that the constructor takes must outlive the front;
+// `last_client_handle` is shared with the other fronts. `seed` seeds the tickets of requests. Events are sent
+// to `post`.
 class Front {
  public:
-  using Post = std::function<void(core::Event)>;
+  using EventSink = std::function<void(core::Event)>;
   struct Options {
-    std::size_t most_connections = 256;
-    bool escaped_rows = false;  // see parse_rows()
-    directory::Lookup lookup;   // of users that the front's own file does not name; empty: no directory
+    std::size_t most_connections = 256;  // further ones are closed at once
+    bool escaped_rows = false;           // engines escape rows, see parse_rows()
+    directory::Lookup lookup;            // of users that the fronts file does not list; empty: no directory
   };
   Front(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config,
         const config::NameIndex& names, const heronwell::Settings& settings, Options options,
-        std::uint64_t& handles, std::uint64_t seed, Post post);
+        std::uint64_t& last_client_handle, std::uint64_t seed, EventSink post);
 
-  bool run(const core::Answer& answer);  // false: the client is not one of this front's
-  void settle() { gone_.clear(); }
+  // Sends the answer of a request. Returns false if the client is not one of this front.
+  bool run(const core::Answer& answer);
+  // Frees closed connections; called once in each iteration of the loop, outside of their handlers.
+  void settle() { closed_.clear(); }
+  // Advances the clock and closes connections that have not logged in in time.
   void tick(core::Time now);
+  // Whether output is pending on any connection.
   [[nodiscard]] bool unwritten() const;
 
  private:
-  static constexpr std::size_t kMostPacket = std::size_t{1} << 20;
-  static constexpr std::size_t kMostUnwritten = std::size_t{16} << 20;
-  static constexpr std::size_t kMostStatements = 1024;  // prepared, on one connection
+  // Limits for each connection: bytes of a packet and of pending output, number of prepared statements.
+  static constexpr std::size_t kMaxPayload = std::size_t{1} << 20;
+  static constexpr std::size_t kMaxUnsentBytes = std::size_t{16} << 20;
+  static constexpr std::size_t kMaxStatements = 1024;
 
-  enum class Phase { login, switched, clear_password, looked_up, idle, running };
+  // In this order: phases before `idle` belong to the login.
+  enum class Phase {
+    awaiting_login,
+    awaiting_auth_switch,
+    awaiting_clear_password,
+    directory_lookup,
+    idle,
+    running
+  };
+  // A prepared statement; `parameters` counts its placeholders.
   struct Statement {
     std::string text;
     std::size_t parameters = 0;
@@ -53,38 +71,41 @@
   struct Connection {
     std::uint64_t serial = 0;
     net::Stream stream;
-    PacketReader reader{kMostPacket};
-    Phase phase = Phase::login;
+    PacketReader reader{kMaxPayload};
+    Phase phase = Phase::awaiting_login;
     std::string nonce, user;
     std::uint32_t capabilities = 0, tenant = 0;
     std::uint8_t sequence = 0;
-    bool taking = false, closing = false;
-    core::ClientHandle client = 0;  // while one of its statements runs
-    bool binary = false;            // it was prepared
-    bool reads = false;
+    bool processing = false, closing = false;  // closing: as soon as its output has been written
+    core::ClientHandle request_client = 0;     // of the running request; 0: none
+    bool binary_result = false;                // the running statement was prepared
+    bool is_read = false;                      // the running statement returns rows
     std::map<std::uint32_t, Statement> statements;
-    std::uint32_t last_statement = 0;
-    Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMostUnwritten) {}
+    std::uint32_t last_statement_id = 0;
+    Connection(ev::loop_ref loop, net::Fd fd) : stream(loop, std::move(fd), false, kMaxUnsentBytes) {}
     [[nodiscard]] bool attributes() const { return (capabilities & kQueryAttributes) != 0; }
   };
 
   void accept(net::Fd fd);
-  void take(Connection& connection);
-  void take(Connection& connection, const Packet& packet);
-  void log_in(Connection& connection, const std::string& payload);
-  void check_password(Connection& connection, const std::string& answer, const std::string& plugin);
-  void look_up(Connection& connection, const std::string& password);
-  void let_in(Connection& connection, std::uint32_t tenant);
-  void command(Connection& connection, const std::string& payload);
-  void prepare(Connection& connection, std::string text);
-  void execute(Connection& connection, const std::string& payload);
-  void start(Connection& connection, std::string_view text, const std::vector<sql::Value>& values,
-             const std::vector<Attribute>& attributes, bool binary);
+  // Processes buffered packets until a statement runs, a directory is queried or the input is used up.
+  void process_input(Connection& connection);
+  void process_packet(Connection& connection, const Packet& packet);
+  void handle_login(Connection& connection, const std::string& payload);
+  void check_password(Connection& connection, const std::string& auth_response, const std::string& plugin);
+  void look_up_user(Connection& connection, const std::string& password);
+  void accept_login(Connection& connection, std::uint32_t tenant);
+  void handle_command(Connection& connection, const std::string& payload);
+  void handle_prepare(Connection& connection, std::string text);
+  void handle_execute(Connection& connection, const std::string& payload);
+  void start_request(Connection& connection, std::string_view text, const std::vector<sql::Value>& values,
+                     const std::vector<Attribute>& attributes, bool binary_result);
+  // Sends a served answer as an OK packet or as rows.
   void write_result(Connection& connection, const core::Answer& answer);
 
   void send(Connection& connection, std::string_view payload);
   void send_error(Connection& connection, const Error& error);
-  void refuse(Connection& connection, const Error& error);  // and close
+  // Sends an error and closes the connection once it has been written.
+  void close_with_error(Connection& connection, const Error& error);
   void close(Connection& connection);
 
   ev::loop_ref loop_;
@@ -92,15 +113,16 @@
   const config::NameIndex& names_;
   const heronwell::Settings& settings_;
   Options options_;
-  std::uint64_t& handles_;
-  std::mt19937_64 tickets_;
-  Post post_;
+  std::uint64_t& last_client_handle_;
+  std::mt19937_64 ticket_random_;
+  EventSink post_;
   net::Listener listener_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::unordered_map<core::ClientHandle, std::uint64_t> running_;
-  std::vector<std::unique_ptr<Connection>> gone_;
-  core::TimerWheel<std::uint64_t> logins_{std::chrono::milliseconds(5)};
-  std::uint64_t serial_ = 0;
+  std::unordered_map<core::ClientHandle, std::uint64_t>
+      running_requests_;  // connection serial by client handle
+  std::vector<std::unique_ptr<Connection>> closed_;
+  core::TimerWheel<std::uint64_t> login_timers_{std::chrono::milliseconds(5)};
+  std::uint64_t last_serial_ = 0;
   core::Time now_{};
 };
 
--- a/src/mysql/packet.hpp
+++ b/src/mysql/packet.hpp
@@ -35,7 +35,7 @@
 inline constexpr const char* kCachingSha2 = "caching_sha2_password";
 inline constexpr const char* kClearPassword = "mysql_clear_password";
 
-// One packet without its header.
+// One packet; the sequence number counts the packets of a command.
 struct Packet {
   std::uint8_t sequence = 0;
   std::string payload;
@@ -61,7 +61,7 @@
 class Cursor {
  public:
   explicit Cursor(std::string_view in) : in_(in) {}
-  [[nodiscard]] std::uint64_t fixed_int(std::size_t size);  // `size` bytes, little-endian
+  [[nodiscard]] std::uint64_t fixed_int(std::size_t size);  // `size` bytes (up to 8), little-endian
   std::uint8_t u8() { return static_cast<std::uint8_t>(fixed_int(1)); }
   std::uint16_t u16() { return static_cast<std::uint16_t>(fixed_int(2)); }
   std::uint32_t u32() { return static_cast<std::uint32_t>(fixed_int(4)); }
@@ -88,6 +88,7 @@
   Writer& bytes(std::string_view value);
   Writer& lenenc_string(std::string_view value);
   Writer& null_string(std::string_view value);
+  // The payload; the writer is empty afterwards.
   [[nodiscard]] std::string release() { return std::move(out_); }
 
  private:
@@ -119,7 +120,8 @@
 // an empty password.
 [[nodiscard]] std::string native_auth_response(std::string_view password, std::string_view nonce);
 [[nodiscard]] std::string sha2_auth_response(std::string_view password, std::string_view nonce);
-[[nodiscard]] bool constant_time_equal(std::string_view a, std::string_view b);  // in constant time
+// Compares secrets of equal length in constant time.
+[[nodiscard]] bool constant_time_equal(std::string_view a, std::string_view b);
 
 // ---- responses
 
@@ -128,18 +130,22 @@
   std::uint16_t code = 0;
   std::string state, message;
 };
+// An OK packet without counts, and an EOF packet.
 [[nodiscard]] std::string write_ok();
 [[nodiscard]] std::string write_eof();
 [[nodiscard]] std::string write_error(const Error& error);
 [[nodiscard]] Error read_error(std::string_view payload);
+// Whether the payload is that of an ERR or of an EOF packet.
 [[nodiscard]] bool is_error(std::string_view payload);
 [[nodiscard]] bool is_eof(std::string_view payload);
 // A column definition; the column's name is the only text in it.
 [[nodiscard]] std::string write_column(std::string_view name, std::uint8_t type);
+// The type in a column definition.
 [[nodiscard]] std::uint8_t read_column_type(std::string_view payload);
 
 // A value of a row as text; none for NULL.
 using Cell = std::optional<std::string>;
+// Rows of the text protocol (responses to COM_QUERY) and of the binary protocol (COM_STMT_EXECUTE).
 [[nodiscard]] std::string write_text_row(const std::vector<Cell>& cells);
 [[nodiscard]] std::string write_binary_row(const std::vector<Cell>& cells);  // all columns as var_string
 [[nodiscard]] std::vector<Cell> read_text_row(std::string_view payload, std::size_t columns);
