--- a/tests/bench.hpp
+++ b/tests/bench.hpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-inline Settings plain_settings() {
+inline Settings base_settings() {
   Settings s;
   s.gateways = 1;
   s.max_attempts = 3;
@@ -43,42 +43,45 @@
   return s;
 }
 
-class Drive {
+class GatewayHarness {
  public:
-  explicit Drive(Settings settings, std::uint64_t seed = 1) : gateway(std::move(settings), seed) {}
+  explicit GatewayHarness(Settings settings, std::uint64_t seed = 1) : gateway(std::move(settings), seed) {}
 
-  std::vector<Action> at(Time time, std::vector<Event> events) {
+  std::vector<Action> handle_at(Time time, std::vector<Event> events) {
     now = time;
     std::vector<Action> out;
     gateway.handle(now, events, out);
     for (const auto& action : out) {
       if (const auto* send = std::get_if<Send>(&action)) sends.push_back(*send);
-      if (std::holds_alternative<SetTimer>(action)) wake = now + std::get<SetTimer>(action).delay;
-      if (const auto* refuse = std::get_if<Reject>(&action)) ++refused[refuse->request];
-      if (const auto* fail = std::get_if<Fail>(&action)) ++failed[fail->request];
+      if (std::holds_alternative<SetTimer>(action)) next_timer = now + std::get<SetTimer>(action).delay;
+      if (const auto* refuse = std::get_if<Reject>(&action)) ++rejections[refuse->request];
+      if (const auto* fail = std::get_if<Fail>(&action)) ++failures[fail->request];
       if (const auto* off = std::get_if<CancelAttempt>(&action))
-        called_off.emplace_back(off->request, off->attempt);
+        cancelled_attempts.emplace_back(off->request, off->attempt);
     }
     return out;
   }
   // Lets the clock run; wakes come when they were asked for.
-  void until(Time time) {
-    while (wake <= time) at(wake, {TimerExpired{}});
-    at(time, {});
+  void run_until(Time time) {
+    while (next_timer <= time) handle_at(next_timer, {TimerExpired{}});
+    handle_at(time, {});
   }
-  void list(std::vector<EngineEntry> engines, MembershipUpdateKind kind = MembershipUpdateKind::full) {
-    at(now, {MembershipUpdate{kind, std::move(engines)}});
+  void update_membership(std::vector<EngineEntry> engines,
+                         MembershipUpdateKind kind = MembershipUpdateKind::full) {
+    handle_at(now, {MembershipUpdate{kind, std::move(engines)}});
   }
-  void ask(RequestId id, ClassIndex cls, Time left = 5s, std::uint64_t key = 0, std::int64_t group = 1) {
+  void submit_request(RequestId id, ClassIndex cls, Time left = 5s, std::uint64_t key = 0,
+                      std::int64_t group = 1) {
     Arrival a;
     a.request = id;
     a.class_index = cls;
     a.time_left = left;
     a.order_key = key;
     a.data_group = group;
-    at(now, {a});
+    handle_at(now, {a});
   }
-  void ends(RequestId id, AttemptIndex n, EngineId engine, AttemptStatus result, Time latency = 100ms) {
+  void end_attempt(RequestId id, AttemptIndex n, EngineId engine, AttemptStatus result,
+                   Time latency = 100ms) {
     AttemptResult o;
     o.request = id;
     o.attempt = n;
@@ -86,27 +89,27 @@
     o.status = result;
     o.latency = latency;
     o.request_closed = result == AttemptStatus::served;
-    at(now, {o});
+    handle_at(now, {o});
   }
-  [[nodiscard]] int sends_of(RequestId id) const {
+  [[nodiscard]] int sends_for_request(RequestId id) const {
     return static_cast<int>(
         std::count_if(sends.begin(), sends.end(), [id](auto& s) { return s.request == id; }));
   }
-  [[nodiscard]] int sends_to(EngineId engine) const {
+  [[nodiscard]] int sends_to_engine(EngineId engine) const {
     return static_cast<int>(
         std::count_if(sends.begin(), sends.end(), [engine](auto& s) { return s.engine == engine; }));
   }
-  [[nodiscard]] int answers(RequestId id) { return refused[id] + failed[id]; }
+  [[nodiscard]] int error_replies(RequestId id) { return rejections[id] + failures[id]; }
 
   Gateway gateway;
   Time now{100s};
-  Time wake{1000000s};
+  Time next_timer{1000000s};
   std::vector<Send> sends;
-  std::map<RequestId, int> refused, failed;
-  std::vector<std::pair<RequestId, AttemptIndex>> called_off;
+  std::map<RequestId, int> rejections, failures;
+  std::vector<std::pair<RequestId, AttemptIndex>> cancelled_attempts;
 };
 
-inline EngineEntry engine(EngineId id, std::uint16_t zone = 0, std::uint16_t kind = 0) {
+inline EngineEntry engine_entry(EngineId id, std::uint16_t zone = 0, std::uint16_t kind = 0) {
   EngineEntry e;
   e.engine = id;
   e.zone = zone;
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 Settings loop_settings() {
-  Settings s = plain_settings();
+  Settings s = base_settings();
   s.kinds = {{"one", 10, 0}};  // pool of one engine and one gateway: 20 threads
   s.classes.resize(1);
   s.classes[0].latency_target = 100s;         // wait aim 30 s
@@ -21,19 +21,19 @@
 TEST(ControlLoop, AClassThatDoesNotWaitFallsToOneQuerysThreads) {
   Settings s = loop_settings();
   s.classes[0].threads = 2;
-  Drive d(s);
-  d.list({engine(7)});
-  d.until(d.now + 10s);
+  GatewayHarness d(s);
+  d.update_membership({engine_entry(7)});
+  d.run_until(d.now + 10s);
   EXPECT_DOUBLE_EQ(d.gateway.class_stats(0).thread_budget, 2);
   EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 20);
 }
 
 TEST(ControlLoop, QueriesStillWaitingShowInTheMeasure) {
-  Drive d(loop_settings());
-  d.list({engine(7)});
-  d.list({with_state(engine(7), EngineState::draining)}, MembershipUpdateKind::delta);
-  d.ask(1, 0, 500s);
-  d.until(d.now + 60s);
+  GatewayHarness d(loop_settings());
+  d.update_membership({engine_entry(7)});
+  d.update_membership({with_state(engine_entry(7), EngineState::draining)}, MembershipUpdateKind::delta);
+  d.submit_request(1, 0, 500s);
+  d.run_until(d.now + 60s);
   // Nothing is ready: the pool is 0, budgets stay at the least. Then the engine comes back with 20 threads,
   // and a query taken long ago has waited past the aim.
   EXPECT_DOUBLE_EQ(d.gateway.class_stats(0).thread_budget, 1);
@@ -43,19 +43,19 @@
 TEST(ControlLoop, FollowsTheFormula) {
   Settings s = loop_settings();
   s.kinds[0].cores = 10;
-  Drive d(s);
+  GatewayHarness d(s);
   // One engine whose every slot is taken by this class, with more queries held behind: E falls below 0.
-  d.list({engine(7)});
-  for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
+  d.update_membership({engine_entry(7)});
+  for (RequestId id = 1; id <= 21; ++id) d.submit_request(id, 0, 900s);
   ASSERT_EQ(d.gateway.class_stats(0).queued, 1U) << "20 threads of the pool, and one held";
   // Period m ends at 2 s x m; one query is held since 0 s, so its wait is 2m seconds.
   // Period 1 also holds the 20 that went at once: mean wait 2 / 21.
   const double pool = 20, gain = -0.8 * pool / 10;
   double u = 1, before = 0;
   for (int m = 1; m <= 25; ++m) {
-    d.at(d.now, {ProgressReport{1, 0, 7, ProgressKind::spill,
-                                1}});  // a word, so that the engine is not taken for silent
-    d.until(100s + std::chrono::milliseconds(2000 * m + 19));
+    d.handle_at(d.now, {ProgressReport{1, 0, 7, ProgressKind::spill,
+                                       1}});  // a word, so that the engine is not taken for silent
+    d.run_until(100s + std::chrono::milliseconds(2000 * m + 19));
     const double wait = m == 1 ? 2.0 / 21 : 2.0 * m;
     const double error = (30 - wait) / 30;
     u = std::clamp(u + gain * (error - 0.3 * before), 1.0, pool);
@@ -71,16 +71,16 @@
   Settings s = loop_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[1].latency_target = 101s;  // ranks second; wait aim 30.3 s
-  Drive d(s);
-  d.list({engine(7)});
-  for (RequestId id = 1; id <= 21; ++id) d.ask(id, 0, 900s);
-  d.ask(22, 1, 900s);
+  GatewayHarness d(s);
+  d.update_membership({engine_entry(7)});
+  for (RequestId id = 1; id <= 21; ++id) d.submit_request(id, 0, 900s);
+  d.submit_request(22, 1, 900s);
   const double pool = 20, gain = -1.6, aims[] = {30, 30.3};
   double u[] = {1, 1}, got[] = {1, 1}, before[] = {0, 0};
   bool saturated_once = false;
   for (int m = 1; m <= 36; ++m) {
-    d.at(d.now, {ProgressReport{1, 0, 7, ProgressKind::spill, 1}});
-    d.until(100s + std::chrono::milliseconds(2000 * m + 19));
+    d.handle_at(d.now, {ProgressReport{1, 0, 7, ProgressKind::spill, 1}});
+    d.run_until(100s + std::chrono::milliseconds(2000 * m + 19));
     const bool saturated = u[0] + u[1] > pool;
     saturated_once = saturated_once || saturated;
     for (int c = 0; c < 2; ++c) {
@@ -98,15 +98,15 @@
 }
 
 TEST(ControlLoop, ALostEngineChangesThePoolAtOnce) {
-  Drive d(loop_settings());
-  d.list({engine(7), engine(8)});
+  GatewayHarness d(loop_settings());
+  d.update_membership({engine_entry(7), engine_entry(8)});
   EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 40);
-  d.list({with_state(engine(8), EngineState::gone)}, MembershipUpdateKind::delta);
+  d.update_membership({with_state(engine_entry(8), EngineState::gone)}, MembershipUpdateKind::delta);
   EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 20);
 }
 
 TEST(Release, TheShorterAimGoesFirstAndThenTheWorth) {
-  Settings s = plain_settings();
+  Settings s = base_settings();
   s.kinds = {{"one", 0.5, 0}};  // one thread
   s.classes.resize(3);
   s.classes[0].latency_target = 2s;
@@ -114,16 +114,16 @@
   s.classes[2].latency_target = 1s;
   s.classes[1].idempotency = s.classes[2].idempotency = Idempotency::safe;
   s.classes[2].value = 5;
-  Drive d(s);
-  d.list({engine(7)});
-  for (RequestId id = 1; id <= 4; ++id) d.ask(id, 0);
+  GatewayHarness d(s);
+  d.update_membership({engine_entry(7)});
+  for (RequestId id = 1; id <= 4; ++id) d.submit_request(id, 0);
   const auto filled = d.sends.size();
   ASSERT_LT(filled, 4U);
-  d.ask(11, 1);
-  d.ask(12, 2);
+  d.submit_request(11, 1);
+  d.submit_request(12, 2);
   ASSERT_EQ(d.sends.size(), filled);
   for (RequestId id = 1; id <= 4 && d.sends.size() < filled + 2; ++id) {
-    if (d.sends_of(id) > 0) d.ends(id, 0, 7, AttemptStatus::served);
+    if (d.sends_for_request(id) > 0) d.end_attempt(id, 0, 7, AttemptStatus::served);
   }
   ASSERT_GT(d.sends.size(), filled);
   EXPECT_EQ(d.sends[filled].request, 12U);
@@ -131,11 +131,11 @@
 
 TEST(Determinism, SameEventsSameActions) {
   const auto run = [] {
-    Drive d(plain_settings(), 99);
-    d.list({engine(3), engine(4), engine(5)});
+    GatewayHarness d(base_settings(), 99);
+    d.update_membership({engine_entry(3), engine_entry(4), engine_entry(5)});
     for (RequestId id = 1; id <= 30; ++id) {
-      d.ask(id, static_cast<ClassIndex>(id % 3));
-      d.until(d.now + 30ms);
+      d.submit_request(id, static_cast<ClassIndex>(id % 3));
+      d.run_until(d.now + 30ms);
     }
     std::vector<std::pair<RequestId, EngineId>> out;
     for (const auto& s : d.sends) out.emplace_back(s.request, s.engine);
