--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -1,5 +1,6 @@
-// The control loop, against sequences worked out by hand from U(m) = U(m-1) + g (E(m) - r E(m-1)), with
-// g = -0.80 in tenths of the pool, r = 0.30, E in wait aims, and a wait aim of 0.30 of the latency aim.
+// Thread budgets, release order and determinism. The budgets are compared with the controller equation
+// U(m) = U(m-1) + g (E(m) - r E(m-1)), with g = -0.80 in tenths of the total thread budget, r = 0.30, the
+// error E in wait targets, and a wait target of 0.30 of the latency target.
 #include <gtest/gtest.h>
 
 #include "bench.hpp"
@@ -7,141 +8,147 @@
 namespace heronwell::test {
 namespace {
 
-Settings loop_settings() {
-  Settings s = base_settings();
-  s.kinds = {{"one", 10, 0}};  // pool of one engine and one gateway: 20 threads
-  s.classes.resize(1);
-  s.classes[0].latency_target = 100s;         // wait aim 30 s
-  s.classes[0].latency_target_per_work = 10;  // nothing is given up while the loop is watched
-  s.classes[0].request_timeout = 1000s;
-  s.max_attempts = 1;
-  return s;
+// One class with a wait target of 30 s, and one attempt for each request.
+Settings control_loop_settings() {
+  Settings settings = base_settings();
+  settings.kinds = {{"one", 10, 0}};  // total budget with one engine and one gateway: 20 threads
+  settings.classes.resize(1);
+  settings.classes[0].latency_target = 100s;         // wait target 30 s
+  settings.classes[0].latency_target_per_work = 10;  // no request is rejected during the test
+  settings.classes[0].request_timeout = 1000s;
+  settings.max_attempts = 1;
+  return settings;
 }
 
-TEST(ControlLoop, AClassThatDoesNotWaitFallsToOneQuerysThreads) {
-  Settings s = loop_settings();
-  s.classes[0].threads = 2;
-  GatewayHarness d(s);
-  d.update_membership({engine_entry(7)});
-  d.run_until(d.now + 10s);
-  EXPECT_DOUBLE_EQ(d.gateway.class_stats(0).thread_budget, 2);
-  EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 20);
+TEST(ControlLoop, BudgetOfAClassWithoutWaitFallsToTheThreadsOfOneQuery) {
+  Settings settings = control_loop_settings();
+  settings.classes[0].threads = 2;
+  GatewayHarness harness(settings);
+  harness.update_membership({engine_entry(7)});
+  harness.run_until(harness.now + 10s);
+  EXPECT_DOUBLE_EQ(harness.gateway.class_stats(0).thread_budget, 2);
+  EXPECT_DOUBLE_EQ(harness.gateway.total_thread_budget(), 20);
 }
 
-TEST(ControlLoop, QueriesStillWaitingShowInTheMeasure) {
-  GatewayHarness d(loop_settings());
-  d.update_membership({engine_entry(7)});
-  d.update_membership({with_state(engine_entry(7), EngineState::draining)}, MembershipUpdateKind::delta);
-  d.submit_request(1, 0, 500s);
-  d.run_until(d.now + 60s);
-  // Nothing is ready: the pool is 0, budgets stay at the least. Then the engine comes back with 20 threads,
-  // and a query taken long ago has waited past the aim.
-  EXPECT_DOUBLE_EQ(d.gateway.class_stats(0).thread_budget, 1);
-  EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 0);
+TEST(ControlLoop, WithoutReadyEnginesBudgetsStayAtTheMinimum) {
+  GatewayHarness harness(control_loop_settings());
+  harness.update_membership({engine_entry(7)});
+  harness.update_membership({with_state(engine_entry(7), EngineState::draining)},
+                            MembershipUpdateKind::delta);
+  harness.submit_request(1, 0, 500s);
+  harness.run_until(harness.now + 60s);
+  // The only engine drains, so the total is 0 threads and the class keeps its minimum, though its query has
+  // waited past the wait target.
+  EXPECT_DOUBLE_EQ(harness.gateway.class_stats(0).thread_budget, 1);
+  EXPECT_DOUBLE_EQ(harness.gateway.total_thread_budget(), 0);
 }
 
-TEST(ControlLoop, FollowsTheFormula) {
-  Settings s = loop_settings();
-  s.kinds[0].cores = 10;
-  GatewayHarness d(s);
-  // One engine whose every slot is taken by this class, with more queries held behind: E falls below 0.
-  d.update_membership({engine_entry(7)});
-  for (RequestId id = 1; id <= 21; ++id) d.submit_request(id, 0, 900s);
-  ASSERT_EQ(d.gateway.class_stats(0).queued, 1U) << "20 threads of the pool, and one held";
-  // Period m ends at 2 s x m; one query is held since 0 s, so its wait is 2m seconds.
-  // Period 1 also holds the 20 that went at once: mean wait 2 / 21.
-  const double pool = 20, gain = -0.8 * pool / 10;
-  double u = 1, before = 0;
-  for (int m = 1; m <= 25; ++m) {
-    d.handle_at(d.now, {ProgressReport{1, 0, 7, ProgressKind::spill,
-                                       1}});  // a word, so that the engine is not taken for silent
-    d.run_until(100s + std::chrono::milliseconds(2000 * m + 19));
-    const double wait = m == 1 ? 2.0 / 21 : 2.0 * m;
-    const double error = (30 - wait) / 30;
-    u = std::clamp(u + gain * (error - 0.3 * before), 1.0, pool);
-    before = error;
-    EXPECT_NEAR(d.gateway.class_stats(0).thread_budget, u, 1e-6) << "period " << m;
+TEST(ControlLoop, BudgetFollowsTheControllerEquation) {
+  Settings settings = control_loop_settings();
+  settings.kinds[0].cores = 10;
+  GatewayHarness harness(settings);
+  // This class uses all threads of the only engine and has one more query queued: the error falls below 0.
+  harness.update_membership({engine_entry(7)});
+  for (RequestId request = 1; request <= 21; ++request) harness.submit_request(request, 0, 900s);
+  ASSERT_EQ(harness.gateway.class_stats(0).queued, 1U) << "20 threads are in use and one query is queued";
+  // Period m ends 2m seconds after the start; one query has been queued since then, so it has waited 2m
+  // seconds. Period 1 also counts the 20 that were sent at once: mean wait 2 / 21 s.
+  const double total_budget = 20, gain = -0.8 * total_budget / 10;
+  double output = 1, previous_error = 0;
+  for (int period = 1; period <= 25; ++period) {
+    // Without progress reports the engine would be considered silent.
+    harness.handle_at(harness.now, {ProgressReport{1, 0, 7, ProgressKind::spill, 1}});
+    harness.run_until(100s + std::chrono::milliseconds(2000 * period + 19));
+    const double wait_s = period == 1 ? 2.0 / 21 : 2.0 * period;
+    const double error = (30 - wait_s) / 30;
+    output = std::clamp(output + gain * (error - 0.3 * previous_error), 1.0, total_budget);
+    previous_error = error;
+    EXPECT_NEAR(harness.gateway.class_stats(0).thread_budget, output, 1e-6) << "period " << period;
   }
-  EXPECT_GT(u, 1.0) << "the sequence must leave the lower bound";
+  EXPECT_GT(output, 1.0) << "the sequence must leave the lower bound";
 }
 
-// Two classes, both waiting: the first takes what it asks for, the second what is left; once the sum passed
-// the pool, each starts from what it got, not from what it asked for.
-TEST(ControlLoop, BudgetsFillByRankAndSaturationStartsFromWhatAClassGot) {
-  Settings s = loop_settings();
-  s.classes.push_back(s.classes[0]);
-  s.classes[1].latency_target = 101s;  // ranks second; wait aim 30.3 s
-  GatewayHarness d(s);
-  d.update_membership({engine_entry(7)});
-  for (RequestId id = 1; id <= 21; ++id) d.submit_request(id, 0, 900s);
-  d.submit_request(22, 1, 900s);
-  const double pool = 20, gain = -1.6, aims[] = {30, 30.3};
-  double u[] = {1, 1}, got[] = {1, 1}, before[] = {0, 0};
-  bool saturated_once = false;
-  for (int m = 1; m <= 36; ++m) {
-    d.handle_at(d.now, {ProgressReport{1, 0, 7, ProgressKind::spill, 1}});
-    d.run_until(100s + std::chrono::milliseconds(2000 * m + 19));
-    const bool saturated = u[0] + u[1] > pool;
-    saturated_once = saturated_once || saturated;
-    for (int c = 0; c < 2; ++c) {
-      const double wait = m == 1 && c == 0 ? 2.0 / 21 : 2.0 * m;
-      const double error = (aims[c] - wait) / aims[c];
-      u[c] = std::clamp((saturated ? got[c] : u[c]) + gain * (error - 0.3 * before[c]), 1.0, pool);
-      before[c] = error;
+// Two classes with queued queries: the first gets its controller output, the second what remains of the total
+// budget. After a period in which the outputs exceeded the total, each class continues from its budget
+// instead of its output (anti-windup).
+TEST(ControlLoop, BudgetsAreAssignedByPriorityAndContinueFromThemAfterSaturation) {
+  Settings settings = control_loop_settings();
+  settings.classes.push_back(settings.classes[0]);
+  settings.classes[1].latency_target = 101s;  // second in priority order; wait target 30.3 s
+  GatewayHarness harness(settings);
+  harness.update_membership({engine_entry(7)});
+  for (RequestId request = 1; request <= 21; ++request) harness.submit_request(request, 0, 900s);
+  harness.submit_request(22, 1, 900s);
+  const double total_budget = 20, gain = -1.6, wait_targets_s[] = {30, 30.3};
+  double outputs[] = {1, 1}, budgets[] = {1, 1}, previous_errors[] = {0, 0};
+  bool was_saturated = false;
+  for (int period = 1; period <= 36; ++period) {
+    harness.handle_at(harness.now, {ProgressReport{1, 0, 7, ProgressKind::spill, 1}});
+    harness.run_until(100s + std::chrono::milliseconds(2000 * period + 19));
+    const bool is_saturated = outputs[0] + outputs[1] > total_budget;
+    was_saturated = was_saturated || is_saturated;
+    for (int class_index = 0; class_index < 2; ++class_index) {
+      const double wait_s = period == 1 && class_index == 0 ? 2.0 / 21 : 2.0 * period;
+      const double error = (wait_targets_s[class_index] - wait_s) / wait_targets_s[class_index];
+      outputs[class_index] = std::clamp((is_saturated ? budgets[class_index] : outputs[class_index]) +
+                                            gain * (error - 0.3 * previous_errors[class_index]),
+                                        1.0, total_budget);
+      previous_errors[class_index] = error;
     }
-    got[0] = std::min(u[0], pool);
-    got[1] = std::max(1.0, std::min(u[1], pool - got[0]));
-    for (ClassIndex c = 0; c < 2; ++c)
-      EXPECT_NEAR(d.gateway.class_stats(c).thread_budget, got[c], 1e-6) << "period " << m << " class " << c;
+    budgets[0] = std::min(outputs[0], total_budget);
+    budgets[1] = std::max(1.0, std::min(outputs[1], total_budget - budgets[0]));
+    for (ClassIndex class_index = 0; class_index < 2; ++class_index)
+      EXPECT_NEAR(harness.gateway.class_stats(class_index).thread_budget, budgets[class_index], 1e-6)
+          << "period " << period << " class " << class_index;
   }
-  EXPECT_TRUE(saturated_once);
+  EXPECT_TRUE(was_saturated);
 }
 
-TEST(ControlLoop, ALostEngineChangesThePoolAtOnce) {
-  GatewayHarness d(loop_settings());
-  d.update_membership({engine_entry(7), engine_entry(8)});
-  EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 40);
-  d.update_membership({with_state(engine_entry(8), EngineState::gone)}, MembershipUpdateKind::delta);
-  EXPECT_DOUBLE_EQ(d.gateway.total_thread_budget(), 20);
+TEST(ControlLoop, RemovedEngineLowersTheTotalBudgetAtOnce) {
+  GatewayHarness harness(control_loop_settings());
+  harness.update_membership({engine_entry(7), engine_entry(8)});
+  EXPECT_DOUBLE_EQ(harness.gateway.total_thread_budget(), 40);
+  harness.update_membership({with_state(engine_entry(8), EngineState::gone)}, MembershipUpdateKind::delta);
+  EXPECT_DOUBLE_EQ(harness.gateway.total_thread_budget(), 20);
 }
 
-TEST(Release, TheShorterAimGoesFirstAndThenTheWorth) {
-  Settings s = base_settings();
-  s.kinds = {{"one", 0.5, 0}};  // one thread
-  s.classes.resize(3);
-  s.classes[0].latency_target = 2s;
-  s.classes[1].latency_target = 1s;
-  s.classes[2].latency_target = 1s;
-  s.classes[1].idempotency = s.classes[2].idempotency = Idempotency::safe;
-  s.classes[2].value = 5;
-  GatewayHarness d(s);
-  d.update_membership({engine_entry(7)});
-  for (RequestId id = 1; id <= 4; ++id) d.submit_request(id, 0);
-  const auto filled = d.sends.size();
-  ASSERT_LT(filled, 4U);
-  d.submit_request(11, 1);
-  d.submit_request(12, 2);
-  ASSERT_EQ(d.sends.size(), filled);
-  for (RequestId id = 1; id <= 4 && d.sends.size() < filled + 2; ++id) {
-    if (d.sends_for_request(id) > 0) d.end_attempt(id, 0, 7, AttemptStatus::served);
+TEST(ReleaseOrder, ShorterLatencyTargetIsFirstAndThenHigherValue) {
+  Settings settings = base_settings();
+  settings.kinds = {{"one", 0.5, 0}};  // one thread
+  settings.classes.resize(3);
+  settings.classes[0].latency_target = 2s;
+  settings.classes[1].latency_target = 1s;
+  settings.classes[2].latency_target = 1s;
+  settings.classes[1].idempotency = settings.classes[2].idempotency = Idempotency::safe;
+  settings.classes[2].value = 5;
+  GatewayHarness harness(settings);
+  harness.update_membership({engine_entry(7)});
+  for (RequestId request = 1; request <= 4; ++request) harness.submit_request(request, 0);
+  const auto sends_before = harness.sends.size();
+  ASSERT_LT(sends_before, 4U);
+  harness.submit_request(11, 1);
+  harness.submit_request(12, 2);
+  ASSERT_EQ(harness.sends.size(), sends_before);
+  for (RequestId request = 1; request <= 4 && harness.sends.size() < sends_before + 2; ++request) {
+    if (harness.sends_for_request(request) > 0) harness.end_attempt(request, 0, 7, AttemptStatus::served);
   }
-  ASSERT_GT(d.sends.size(), filled);
-  EXPECT_EQ(d.sends[filled].request, 12U);
+  ASSERT_GT(harness.sends.size(), sends_before);
+  EXPECT_EQ(harness.sends[sends_before].request, 12U);
 }
 
-TEST(Determinism, SameEventsSameActions) {
-  const auto run = [] {
-    GatewayHarness d(base_settings(), 99);
-    d.update_membership({engine_entry(3), engine_entry(4), engine_entry(5)});
-    for (RequestId id = 1; id <= 30; ++id) {
-      d.submit_request(id, static_cast<ClassIndex>(id % 3));
-      d.run_until(d.now + 30ms);
+TEST(Determinism, EqualSeedsAndEventsGiveEqualSends) {
+  const auto run_gateway = [] {
+    GatewayHarness harness(base_settings(), 99);
+    harness.update_membership({engine_entry(3), engine_entry(4), engine_entry(5)});
+    for (RequestId request = 1; request <= 30; ++request) {
+      harness.submit_request(request, static_cast<ClassIndex>(request % 3));
+      harness.run_until(harness.now + 30ms);
     }
-    std::vector<std::pair<RequestId, EngineId>> out;
-    for (const auto& s : d.sends) out.emplace_back(s.request, s.engine);
-    return out;
+    std::vector<std::pair<RequestId, EngineId>> engine_by_request;
+    for (const auto& send : harness.sends) engine_by_request.emplace_back(send.request, send.engine);
+    return engine_by_request;
   };
-  EXPECT_EQ(run(), run());
+  EXPECT_EQ(run_gateway(), run_gateway());
 }
 
 }  // namespace
