--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -1,7 +1,7 @@
 // Second copies, and what estimates of work and memory decide.
 #include <gtest/gtest.h>
 
-#include "bench.hpp"
+#include "gateway_harness.hpp"
 
 namespace heronwell::test {
 namespace {
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <tuple>
 
-#include "bench.hpp"
+#include "gateway_harness.hpp"
 
 namespace heronwell::test {
 namespace {
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -3,7 +3,7 @@
 // error E in wait targets, and a wait target of 0.30 of the latency target.
 #include <gtest/gtest.h>
 
-#include "bench.hpp"
+#include "gateway_harness.hpp"
 
 namespace heronwell::test {
 namespace {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "bench.hpp"
+#include "gateway_harness.hpp"
 
 namespace heronwell::test {
 namespace {
