--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -146,7 +146,7 @@
   }
   const json& settings = require_object(require_field(all, "settings"), "settings");
   try {
-    out.settings = heronwell::wire::settings_from(settings);
+    out.settings = heronwell::simulator::settings_from(settings);
   } catch (const std::exception& error) {
     throw ConfigError(error.what());
   }
--- a/src/drill.cpp
+++ b/src/drill.cpp
@@ -1,4 +1,6 @@
-// Hosts gateways for the simulator: batches on standard input, replies on standard output.
+// Adapter that runs gateways under a simulator: reads batches of events from standard input and writes a
+// reply with the resulting actions to standard output for each. Exits with status 0 at the end of input, 1
+// after an error.
 #include <algorithm>
 #include <cstdint>
 #include <cstdio>
@@ -15,47 +17,52 @@
 using heronwell::Action;
 using heronwell::Event;
 using heronwell::Gateway;
-namespace wire = heronwell::wire;
+namespace simulator = heronwell::simulator;
 
-// False at the end of input; a frame cut short is malformed.
+// Reads one frame from standard input. Returns false at the end of input; throws ParseError if the frame is
+// truncated or its length is invalid.
 bool read_frame(std::vector<std::uint8_t>& frame) {
-  frame.resize(wire::kLengthBytes);
-  const auto got = std::fread(frame.data(), 1, frame.size(), stdin);
-  if (got == 0 && std::feof(stdin) != 0) return false;
-  if (got != frame.size()) throw wire::Malformed("frame: truncated");
-  const auto length = wire::frame_length(frame);
-  // Grow as bytes come, so that an absurd length costs no absurd memory.
-  constexpr std::size_t kChunk = std::size_t{1} << 20;
+  frame.resize(simulator::kLengthBytes);
+  const auto bytes_read = std::fread(frame.data(), 1, frame.size(), stdin);
+  if (bytes_read == 0 && std::feof(stdin) != 0) return false;
+  if (bytes_read != frame.size()) throw simulator::ParseError("frame: truncated");
+  const auto length = simulator::frame_length(frame);
+  // The buffer grows as bytes arrive, so that a corrupt length does not allocate up to 1 GiB at once.
+  constexpr std::size_t kMaxChunkBytes = std::size_t{1} << 20;
   while (frame.size() < length) {
-    const auto at = frame.size();
-    const auto part = std::min(kChunk, length - at);
-    frame.resize(at + part);
-    if (std::fread(frame.data() + at, 1, part, stdin) != part) throw wire::Malformed("frame: truncated");
+    const auto offset = frame.size();
+    const auto chunk_bytes = std::min(kMaxChunkBytes, length - offset);
+    frame.resize(offset + chunk_bytes);
+    if (std::fread(frame.data() + offset, 1, chunk_bytes, stdin) != chunk_bytes)
+      throw simulator::ParseError("frame: truncated");
   }
   return true;
 }
 
-class Host {
+// Runs the gateway instances and passes each of them its events.
+class Adapter {
  public:
-  std::vector<std::uint8_t> answer(const wire::Batch& batch) {
-    wire::ReplyWriter reply;
+  // Returns the reply frame. Consecutive events of one instance are passed to its gateway in one call. Throws
+  // ParseError for an event of an instance that is not running, std::invalid_argument for invalid settings.
+  std::vector<std::uint8_t> process(const simulator::Batch& batch) {
+    simulator::ReplyWriter reply;
     std::vector<Event> events;
-    std::optional<std::uint32_t> current;
+    std::optional<std::uint32_t> current_instance;
     const auto flush = [&] {
-      if (current && !events.empty()) decide(batch.now, *current, events, reply);
+      if (current_instance && !events.empty()) run_gateway(batch.now, *current_instance, events, reply);
       events.clear();
     };
     for (const auto& record : batch.records) {
-      if (current != record.instance) flush();
-      current = record.instance;
-      if (const auto* start = std::get_if<wire::Start>(&record.what)) {
+      if (current_instance != record.instance) flush();
+      current_instance = record.instance;
+      if (const auto* start = std::get_if<simulator::StartInstance>(&record.payload)) {
         flush();
         gateways_.insert_or_assign(record.instance, Gateway(start->settings, start->seed));
-      } else if (std::holds_alternative<wire::Stop>(record.what)) {
+      } else if (std::holds_alternative<simulator::StopInstance>(record.payload)) {
         events.clear();
         gateways_.erase(record.instance);
       } else {
-        events.push_back(std::get<Event>(record.what));
+        events.push_back(std::get<Event>(record.payload));
       }
     }
     flush();
@@ -63,30 +70,30 @@
   }
 
  private:
-  void decide(heronwell::Time now, std::uint32_t id, const std::vector<Event>& events,
-              wire::ReplyWriter& reply) {
-    const auto found = gateways_.find(id);
+  void run_gateway(heronwell::Time now, std::uint32_t instance_id, const std::vector<Event>& events,
+                   simulator::ReplyWriter& reply) {
+    const auto found = gateways_.find(instance_id);
     if (found == gateways_.end())
-      throw wire::Malformed("frame: an event for an instance that is not running");
+      throw simulator::ParseError("frame: event for an instance that is not running");
     std::vector<Action> actions;
     found->second.handle(now, events, actions);
     if (actions.empty()) return;
-    reply.instance(id);
-    for (const auto& action : actions) reply.action(action);
+    reply.select_instance(instance_id);
+    for (const auto& action : actions) reply.add_action(action);
   }
 
-  std::map<std::uint32_t, Gateway> gateways_;
+  std::map<std::uint32_t, Gateway> gateways_;  // by instance ID
 };
 
 }  // namespace
 
 int main() {
   try {
-    wire::Reader reader;
-    Host host;
+    simulator::BatchReader reader;
+    Adapter adapter;
     std::vector<std::uint8_t> frame;
     while (read_frame(frame)) {
-      const auto reply = host.answer(reader.read(frame));
+      const auto reply = adapter.process(reader.read(frame));
       if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
         std::fputs("heronwell_drill: cannot write the reply\n", stderr);
         return 1;
