--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "config/read.hpp"
-#include "wire.hpp"
+#include "simulator/protocol.hpp"
 
 namespace bellstair::config {
 namespace {
--- a/src/drill.cpp
+++ b/src/simulator/adapter.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "heronwell/gateway.hpp"
-#include "wire.hpp"
+#include "simulator/protocol.hpp"
 
 namespace {
 
--- a/src/wire.cpp
+++ b/src/simulator/protocol.cpp
@@ -1,4 +1,4 @@
-#include "wire.hpp"
+#include "simulator/protocol.hpp"
 
 #include <algorithm>
 #include <bit>
--- a/tests/wire_test.cpp
+++ b/tests/simulator_protocol_test.cpp
@@ -1,10 +1,10 @@
-#include "wire.hpp"
-
 #include <gtest/gtest.h>
 
 #include <initializer_list>
 #include <string>
 
+#include "simulator/protocol.hpp"
+
 namespace heronwell::simulator {
 namespace {
 
