--- a/tests/faults/fault_shim.cpp
+++ b/tests/faults/fault_shim.cpp
@@ -1,5 +1,5 @@
-// Preloaded into the program under test: steps its wall clock and makes its system calls fail, as the test
-// that shares BELLSTAIR_FAULT_FILE with it asks. The monotonic clock is left alone.
+// A library that is preloaded into the program under test. It steps the wall clock and makes system calls
+// fail as requested by the test through the file in BELLSTAIR_FAULT_FILE. The monotonic clock is not changed.
 #include "fault_shim.hpp"
 
 #include <dlfcn.h>
@@ -18,12 +18,12 @@
 namespace {
 constexpr std::int64_t kNanosecondsPerSecond = 1'000'000'000;
 
-// Without the variable the shim changes nothing.
+// The shared state, or one without faults if the environment variable is not set.
 FaultState& state() {
-  static FaultState none;
+  static FaultState no_faults;
   static FaultState* const shared = [] {
     const char* const path = std::getenv(bellstair::test::kFaultFileVariable);
-    return path == nullptr ? &none : bellstair::test::map_fault_state(path);
+    return path == nullptr ? &no_faults : bellstair::test::map_fault_state(path);
   }();
   return *shared;
 }
@@ -33,8 +33,8 @@
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
-// splitmix64 on the shared state: one seed gives one sequence of draws.
-bool draw(std::uint32_t per_million) {
+// Decides whether to inject a fault. splitmix64 on the shared state: a seed determines the sequence of draws.
+bool inject(std::uint32_t per_million) {
   if (per_million == 0) return false;
   std::uint64_t x = state().random_state.fetch_add(0x9e3779b97f4a7c15ULL);
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -44,23 +44,24 @@
   return true;
 }
 
-// True: the call is to fail, and errno holds one of its documented errors. The first `transient` of them
-// break nothing: the call may be made again.
+// Returns true if the call is to fail, with errno set to one of its documented errors. The first `transient`
+// of `errors` break no connection: the call can be retried.
 template <std::size_t N>
 bool fails(FaultyCall call, const std::array<int, N>& errors, std::size_t transient = N) {
-  const int before = errno;
-  if (!draw(state().failures_per_million[static_cast<std::size_t>(call)].load())) {
-    errno = before;
+  const int previous_errno = errno;
+  if (!inject(state().failures_per_million[static_cast<std::size_t>(call)].load())) {
+    errno = previous_errno;
     return false;
   }
   errno = errors[state().random_state.load() % (state().transient_only.load() ? transient : N)];
   return true;
 }
 
-void shift(timespec& time) {
-  const auto all = time.tv_sec * kNanosecondsPerSecond + time.tv_nsec + state().wall_clock_offset_ns.load();
-  time.tv_sec = all / kNanosecondsPerSecond;
-  time.tv_nsec = all % kNanosecondsPerSecond;
+void add_wall_clock_offset(timespec& time) {
+  const auto total_ns =
+      time.tv_sec * kNanosecondsPerSecond + time.tv_nsec + state().wall_clock_offset_ns.load();
+  time.tv_sec = total_ns / kNanosecondsPerSecond;
+  time.tv_nsec = total_ns % kNanosecondsPerSecond;
 }
 }  // namespace
 
@@ -69,7 +70,8 @@
 int clock_gettime(clockid_t clock, timespec* time) noexcept {
   static const auto real = original<int(clockid_t, timespec*)>("clock_gettime");
   const int result = real(clock, time);
-  if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) shift(*time);
+  if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE))
+    add_wall_clock_offset(*time);
   return result;
 }
 
@@ -98,7 +100,7 @@
   static const auto real = original<int(int, const sockaddr*, socklen_t)>("connect");
   constexpr std::array kErrors{EINTR, EADDRNOTAVAIL, ENOBUFS, ENETUNREACH, EHOSTUNREACH, ECONNREFUSED};
   if (!fails(FaultyCall::connect, kErrors, 3)) return real(fd, address, size);
-  // An interrupted connect goes on in the background.
+  // An interrupted connect() proceeds in the kernel, so the real call is made in that case too.
   const int error = errno;
   if (error == EINTR && real(fd, address, size) == 0) return 0;
   errno = error;
@@ -109,14 +111,14 @@
   static const auto real = original<ssize_t(int, void*, size_t, int)>("recv");
   constexpr std::array kErrors{EINTR, EAGAIN, ENOMEM, ECONNRESET, ETIMEDOUT, EHOSTUNREACH};
   if (fails(FaultyCall::receive, kErrors, 3)) return -1;
-  return real(fd, buffer, size > 1 && draw(state().short_transfers_per_million.load()) ? 1 : size, flags);
+  return real(fd, buffer, size > 1 && inject(state().short_transfers_per_million.load()) ? 1 : size, flags);
 }
 
 ssize_t send(int fd, const void* buffer, size_t size, int flags) {
   static const auto real = original<ssize_t(int, const void*, size_t, int)>("send");
   constexpr std::array kErrors{EINTR, EAGAIN, ENOBUFS, ENOMEM, ECONNRESET, EPIPE};
   if (fails(FaultyCall::send, kErrors, 4)) return -1;
-  return real(fd, buffer, size > 1 && draw(state().short_transfers_per_million.load()) ? 1 : size, flags);
+  return real(fd, buffer, size > 1 && inject(state().short_transfers_per_million.load()) ? 1 : size, flags);
 }
 
 int socket(int domain, int type, int protocol) noexcept {
@@ -134,7 +136,7 @@
 int epoll_ctl(int poll, int operation, int fd, epoll_event* event) noexcept {
   static const auto real = original<int(int, int, int, epoll_event*)>("epoll_ctl");
   constexpr std::array kErrors{ENOMEM, ENOSPC};
-  // Taking a descriptor out of the set needs no memory.
+  // EPOLL_CTL_DEL allocates no memory, so it fails with neither of these.
   if (operation != EPOLL_CTL_DEL && fails(FaultyCall::epoll_control, kErrors)) return -1;
   return real(poll, operation, fd, event);
 }
@@ -143,10 +145,10 @@
   static const auto real = original<int(const char*, int, ...)>("open");
   constexpr std::array kErrors{EINTR, EMFILE, ENFILE, ENOMEM, EIO};
   if (fails(FaultyCall::open, kErrors)) return -1;
-  va_list rest;
-  va_start(rest, flags);
-  const auto mode = (flags & O_CREAT) != 0 ? va_arg(rest, unsigned) : 0U;
-  va_end(rest);
+  va_list arguments;
+  va_start(arguments, flags);
+  const auto mode = (flags & O_CREAT) != 0 ? va_arg(arguments, unsigned) : 0U;
+  va_end(arguments);
   return real(path, flags, mode);
 }
 
--- a/tests/faults/fault_shim.hpp
+++ b/tests/faults/fault_shim.hpp
@@ -1,4 +1,4 @@
-// The memory that a test shares with the fault shim in the program under test.
+// The memory that a test shares with the fault shim in the program under test, by which it requests faults.
 #pragma once
 
 #include <fcntl.h>
@@ -15,10 +15,10 @@
 
 namespace bellstair::test {
 
-// The environment variable that names the shared file.
+// The environment variable that holds the path of the shared file.
 inline constexpr const char* kFaultFileVariable = "BELLSTAIR_FAULT_FILE";
 
-// System calls that the shim can make fail.
+// The system calls that the shim can make fail; an index of FaultState::failures_per_million.
 enum class FaultyCall : std::size_t {
   accept,
   connect,
@@ -30,21 +30,21 @@
   epoll_control,
   count
 };
-inline constexpr std::size_t kFaultyCalls = static_cast<std::size_t>(FaultyCall::count);
+inline constexpr std::size_t kFaultyCallCount = static_cast<std::size_t>(FaultyCall::count);
 
-// Zero-initialized: no fault. Both processes use it at the same time.
+// The initial state injects no fault. Both processes access it concurrently.
 struct FaultState {
   std::atomic<std::int64_t> wall_clock_offset_ns{0};  // added to CLOCK_REALTIME
   std::atomic<std::uint64_t> random_state{1};
-  std::atomic<std::uint32_t> failures_per_million[kFaultyCalls]{};
+  std::atomic<std::uint32_t> failures_per_million[kFaultyCallCount]{};
   std::atomic<std::uint32_t> short_transfers_per_million{0};  // sends and receives of one byte
-  std::atomic<bool> transient_only{false};                    // only errors that break no connection
-  std::atomic<std::uint64_t> injected{0};                     // faults so far
+  std::atomic<bool> transient_only{false};                    // only errors that leave a connection usable
+  std::atomic<std::uint64_t> injected{0};                     // number of faults so far
 };
 
 // Maps the shared file; throws std::runtime_error if that fails.
 inline FaultState* map_fault_state(const std::string& path) {
-  // Not by way of open(), which the shim itself replaces.
+  // A direct system call, since the shim replaces open().
   const auto fd = static_cast<int>(::syscall(SYS_openat, AT_FDCWD, path.c_str(), O_RDWR | O_CLOEXEC));
   if (fd < 0) throw std::runtime_error("cannot open the fault file");
   void* const memory = ::mmap(nullptr, sizeof(FaultState), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
--- a/tests/faults/faults.hpp
+++ b/tests/faults/faults.hpp
@@ -1,4 +1,4 @@
-// Starts the program under the fault shim, and what such tests share.
+// Preloads the fault shim into the program under test and controls the faults that it injects.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,8 @@
 
 namespace bellstair::test {
 
-// The state that a test and the shim in its program share, in a file of its own.
+// The fault state that a test shares with the shim in its program, in a temporary file that is mapped by
+// both. The constructor throws std::runtime_error if the file cannot be mapped.
 class Faults {
  public:
   Faults()
@@ -25,12 +26,14 @@
   Faults& operator=(const Faults&) = delete;
 
   FaultState* operator->() { return state_; }
+  // Steps the program's CLOCK_REALTIME; steps add up.
   void step_wall_clock(std::chrono::nanoseconds by) { state_->wall_clock_offset_ns += by.count(); }
 
+  // The environment variables to start the program with.
   [[nodiscard]] std::map<std::string, std::string> environment() const {
     return {{kFaultFileVariable, path_},
             {"LD_PRELOAD", BELLSTAIR_FAULT_SHIM},
-            // A sanitized program has its runtime behind the shim.
+            // The shim precedes the sanitizer's runtime in the library list of a sanitized program.
             {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
   }
 
