--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -1,4 +1,5 @@
-// The program when its system calls fail in documented ways that break no connection: nothing may be lost.
+// Tests of the program when system calls fail with documented errors that break no connection: no request may
+// be lost.
 #include <gtest/gtest.h>
 
 #include "faults.hpp"
@@ -14,17 +15,19 @@
   std::vector<FaultyCall> calls;
 };
 
+// A third of the calls fail with errors after which they can be retried. Guards against requests without a
+// response and against engines that are ejected for failures of the broker's own machine.
 class TransientFailure : public ::testing::TestWithParam<FaultyCallCase> {};
 
 TEST_P(TransientFailure, LosesNoRequestAndBlamesNoEngine) {
   constexpr int kRounds = 12;
   Faults faults;
-  // A connection for each call.
-  const auto last = [](std::string answer) {
-    return answer.replace(answer.find("\r\n"), 2, "\r\nConnection: close\r\n");
+  // Closes the connection after each response, so that every call needs a new one.
+  const auto with_close = [](std::string response) {
+    return response.replace(response.find("\r\n"), 2, "\r\nConnection: close\r\n");
   };
   HttpEngine engine([&](const HttpRequest& call) {
-    return last(call.method == "POST" ? http_response(202) : rows_response("x\ty\tz\n"));
+    return with_close(call.method == "POST" ? http_response(202) : rows_response("x\ty\tz\n"));
   });
   Broker broker({{"s-00000001", engine.server.address()}}, {}, 0, {}, faults.environment());
   faults->transient_only = true;
@@ -53,7 +56,8 @@
                                                           {FaultyCall::send, FaultyCall::epoll_control}}),
                          [](const auto& instance) { return instance.param.name; });
 
-TEST(Signals, AreHeededThoughTheLoopCanWatchNoDescriptor) {
+// Even if no descriptor can be registered with epoll, SIGTERM must end the program.
+TEST(Signals, AreHandledWhenNoDescriptorCanBeRegistered) {
   constexpr std::uint32_t kAlways = 1'000'000;  // per million
   Faults faults;
   faults->failures_per_million[static_cast<std::size_t>(FaultyCall::epoll_control)] = kAlways;
@@ -63,24 +67,26 @@
   EXPECT_EQ(broker.program->wait_for_exit(), 0);
 }
 
-// The configuration is asked for while it cannot be read, or while it is only half written.
-TEST(Reload, IsTriedAgainUntilTheConfigurationCanBeRead) {
+// A reload that is requested while the configuration file cannot be read or is only partly written must be
+// retried until it succeeds.
+TEST(Reload, IsRetriedUntilTheConfigurationIsReadable) {
   Faults faults;
   HttpEngine engine([](const HttpRequest&) { return rows_response("x\ty\tz\n"); });
   Broker broker({{"s-00000001", engine.server.address()}}, {}, 0, {}, faults.environment());
-  ChangeLog moved;
-  moved.push(json::array({server_entry("s-00000001", engine.server.address())}), true);
+  ChangeLog new_change_log;
+  new_change_log.push(json::array({server_entry("s-00000001", engine.server.address())}), true);
   auto config = broker.config;
-  config["changelog"] = moved.address();
+  config["changelog"] = new_change_log.address();
   const auto text = config.dump();
   broker.reload(text.substr(0, text.size() / 2));
   broker.program->wait_for_log_line("the configuration stays as it was");
   std::ofstream(broker.configuration_file()) << text;
   broker.program->wait_for_log_line("the configuration was read again");
-  moved.wait_until_processed();
+  new_change_log.wait_until_processed();
 }
 
-TEST(Start, WaitsForAnAddressThatIsStillInUse) {
+// A restarted program must wait until its predecessor has released the listening address, and not exit.
+TEST(Start, RetriesListeningWhileTheAddressIsInUse) {
   std::optional<Server> predecessor(std::in_place, [](Socket&) {});
   const auto address = predecessor->address();
   ChangeLog changes;
