--- a/tests/faults/standstill_test.cpp
+++ b/tests/faults/standstill_test.cpp
@@ -1,4 +1,4 @@
-// The program when it stands still for a while, as a machine does that has no processor for it.
+// Tests of the program after a process pause (SIGSTOP, SIGCONT), as when its machine gives it no CPU time.
 #include <gtest/gtest.h>
 
 #include "faults.hpp"
@@ -7,12 +7,14 @@
 namespace {
 
 const std::string kStatement = "SELECT a FROM sales_17.orders";
-constexpr auto kStandstill = 1s;
-constexpr auto kShortStandstill = 200ms;  // no call to an engine is overdue after it
+constexpr auto kPause = 1s;
+constexpr auto kShortPause = 200ms;  // shorter than any time-out of a request to an engine
 
-bool posts(const HttpRequest& call) { return call.method == "POST"; }
+bool is_post(const HttpRequest& request) { return request.method == "POST"; }
 
-TEST(Standstill, ARequestThatCameMeanwhileIsGivenNoMoreThanTheTimeItsClientHasLeft) {
+// A request that arrives during a pause has already waited. The time limit passed to the engine must not
+// exceed what remains for its client.
+TEST(ProcessPause, RequestReceivedDuringPauseGetsOnlyItsRemainingTime) {
   constexpr auto kLimit = 3000ms, kSlack = 150ms;
   HttpEngine engine([](const HttpRequest&) { return rows_response("x\ty\tz\n"); });
   Broker broker({{"s-00000001", engine.server.address()}});
@@ -21,15 +23,17 @@
   broker.program->pause();
   client.send_request(1, "lookup", kStatement, {{"limit", kLimit / 1ms}});
   const auto sent = std::chrono::steady_clock::now();
-  std::this_thread::sleep_for(kStandstill);
-  const auto left = kLimit - (std::chrono::steady_clock::now() - sent);
+  std::this_thread::sleep_for(kPause);
+  const auto remaining = kLimit - (std::chrono::steady_clock::now() - sent);
   broker.program->send_signal(SIGCONT);
   EXPECT_EQ(result_body(client.read_response()), "x\ty\tz\n");
-  const auto post = engine.requests.wait_for(posts);
-  EXPECT_LE(std::stoi(post.headers.at("X-Max-Ms")) * 1ms, left + kSlack);
+  const auto post = engine.requests.wait_for(is_post);
+  EXPECT_LE(std::stoi(post.headers.at("X-Max-Ms")) * 1ms, remaining + kSlack);
 }
 
-TEST(Standstill, AnAnswerThatCameMeanwhileIsNotAskedForAgain) {
+// After a pause, the response time-out of a call may be due although its response is in the socket's receive
+// buffer. The response must be read, and not be polled for again.
+TEST(ProcessPause, ResponseReceivedDuringPauseIsNotPolledForAgain) {
   std::promise<void> done;
   HttpEngine engine([&, wait = done.get_future().share()](const HttpRequest&) {
     wait.wait();
@@ -38,47 +42,49 @@
   Broker broker({{"s-00000001", engine.server.address()}});
   Client client(broker.address);
   client.send_request(1, "lookup", kStatement);
-  engine.requests.wait_for(posts);
+  engine.requests.wait_for(is_post);
   broker.program->pause();
   done.set_value();
-  std::this_thread::sleep_for(kStandstill);
+  std::this_thread::sleep_for(kPause);
   broker.program->send_signal(SIGCONT);
   EXPECT_EQ(result_body(client.read_response()), "x\ty\tz\n");
-  EXPECT_EQ(engine.requests.count([](const HttpRequest& call) { return call.method == "GET"; }), 0U);
+  EXPECT_EQ(engine.requests.count([](const HttpRequest& request) { return request.method == "GET"; }), 0U);
 }
 
-// More of them than one poll reports.
-TEST(Standstill, NothingBeginsForClientsThatLeftMeanwhile) {
+// During a pause, a key becomes free and the clients that wait for it close their connections. None of their
+// requests may be started afterwards. There are more closed connections than one epoll_wait() call reports.
+TEST(ProcessPause, QueuedRequestsOfClosedConnectionsAreNotStarted) {
   constexpr int kClients = 120;
   std::promise<void> done;
-  HttpEngine engine([&, wait = done.get_future().share()](const HttpRequest& call) {
-    if (posts(call) && call.headers.at("X-Queue") == "load") return http_response(202);
+  HttpEngine engine([&, wait = done.get_future().share()](const HttpRequest& request) {
+    if (is_post(request) && request.headers.at("X-Queue") == "load") return http_response(202);
     wait.wait();
     return rows_response("x\ty\tz\n");
   });
   Broker broker({{"s-00000001", engine.server.address()}}, {}, 0,
                 [](json& config) { config["limits"]["sockets"] = 1024; });
   const json key{{"item", "7f3a9c21e0b4d655"}};
-  Client first(broker.address);
-  first.send_request(1, "load", kStatement, key);
-  engine.requests.wait_for([](const HttpRequest& call) { return call.method == "GET"; });
-  std::vector<std::unique_ptr<Client>> waiting;
+  Client first_client(broker.address);
+  first_client.send_request(1, "load", kStatement, key);
+  engine.requests.wait_for([](const HttpRequest& request) { return request.method == "GET"; });
+  std::vector<std::unique_ptr<Client>> queued_clients;
   for (int i = 0; i < kClients; ++i) {
-    auto named = key;
-    named["txn"] = ticket(static_cast<unsigned>(1000 + i));
-    waiting.push_back(std::make_unique<Client>(broker.address));
-    waiting.back()->send_request(1, "load", kStatement, named);
+    auto params = key;
+    params["txn"] = ticket(static_cast<unsigned>(1000 + i));
+    queued_clients.push_back(std::make_unique<Client>(broker.address));
+    queued_clients.back()->send_request(1, "load", kStatement, params);
   }
-  EXPECT_TRUE(waiting.back()->is_ready());
+  EXPECT_TRUE(queued_clients.back()->is_ready());
   broker.program->pause();
   done.set_value();
-  while (!waiting.empty()) waiting.pop_back();  // the next in turn last
-  std::this_thread::sleep_for(kShortStandstill);
+  while (!queued_clients.empty()) queued_clients.pop_back();  // closes the next request of the key last
+  std::this_thread::sleep_for(kShortPause);
   broker.program->send_signal(SIGCONT);
-  EXPECT_EQ(result_body(first.read_response()), "x\ty\tz\n");
-  EXPECT_TRUE(first.is_ready());
-  first.send_request(2, "lookup", kStatement);  // by its answer all that went before has been dealt with
-  EXPECT_EQ(result_body(first.read_response()), "x\ty\tz\n");
+  EXPECT_EQ(result_body(first_client.read_response()), "x\ty\tz\n");
+  EXPECT_TRUE(first_client.is_ready());
+  // The response to this request shows that all earlier events have been processed.
+  first_client.send_request(2, "lookup", kStatement);
+  EXPECT_EQ(result_body(first_client.read_response()), "x\ty\tz\n");
   EXPECT_EQ(engine.post_count(), 2U);
 }
 
