--- a/tests/faults/traffic.hpp
+++ b/tests/faults/traffic.hpp
@@ -130,7 +130,7 @@
       try {
         line = socket_->read_line();
       } catch (const std::exception& error) {
-        if (std::string(error.what()) == "nothing came") {
+        if (std::string(error.what()) == "timed out waiting for data") {
           for (const auto& [id, one] : pending) {
             if (!one.cancelled) record_.violated("no answer for " + one.ticket);
           }
