--- a/tests/faults/fault_proxy.hpp
+++ b/tests/faults/fault_proxy.hpp
@@ -1,4 +1,5 @@
-// Relays connections to one address, and breaks, delays or cuts them.
+// A TCP proxy that relays connections to one address and injects network faults: resets, delays, split
+// transfers and partitions.
 #pragma once
 
 #include <poll.h>
@@ -12,13 +13,15 @@
 
 namespace bellstair::test {
 
+// Relays each connection in a thread of its own. The seed determines the sequence of random draws.
 class FaultProxy {
  public:
+  // Probabilities, and the upper bound of each delay.
   struct Faults {
-    double reset_new = 0.03;    // of connections: broken off before the first byte
-    double reset_later = 0.02;  // of transfers: broken off instead
-    double split = 0.1;         // of transfers: in two pieces, some time apart
-    std::chrono::milliseconds longest_delay{3};
+    double reset_on_connect = 0.03;   // of connections: reset before the first byte
+    double reset_on_transfer = 0.02;  // of transfers: the connection is reset instead
+    double split_transfer = 0.1;      // of transfers: sent in two parts, with a delay between them
+    std::chrono::milliseconds max_delay{3};
   };
 
   FaultProxy(std::string target, std::uint64_t seed, Faults faults)
@@ -28,53 +31,56 @@
         server_([this](Socket& socket) { relay(socket); }) {}
 
   [[nodiscard]] const std::string& address() const { return server_.address(); }
-  // Nothing passes until then; connections stay open.
-  void cut_until(SteadyTime time) { cut_until_ = time.time_since_epoch().count(); }
+  // Simulates a partition: relays nothing until `time`, while connections stay open.
+  void partition_until(SteadyTime time) { partition_until_ = time.time_since_epoch().count(); }
 
  private:
   static constexpr int kPollMs = 5;
 
   void relay(Socket& from) {
-    wait_out_cut();
-    if (chance(faults_.reset_new)) return from.reset();
+    wait_for_partition_end();
+    if (chance(faults_.reset_on_connect)) return from.reset();
     auto to = Socket::connect_to(target_);
     while (true) {
-      pollfd both[] = {{from.fd(), POLLIN, 0}, {to.fd(), POLLIN, 0}};
-      if (::poll(both, 2, kPollMs) == 0) continue;
-      if (wait_out_cut() && (from.is_reset() || to.is_reset())) return end(from, to);
-      if ((both[0].revents != 0 && !pass(from, to)) || (both[1].revents != 0 && !pass(to, from)))
-        return end(from, to);
+      pollfd descriptors[] = {{from.fd(), POLLIN, 0}, {to.fd(), POLLIN, 0}};
+      if (::poll(descriptors, 2, kPollMs) == 0) continue;
+      if (wait_for_partition_end() && (from.is_reset() || to.is_reset())) return reset_both(from, to);
+      if ((descriptors[0].revents != 0 && !relay_available(from, to)) ||
+          (descriptors[1].revents != 0 && !relay_available(to, from)))
+        return reset_both(from, to);
     }
   }
 
-  // True: there was one.
-  bool wait_out_cut() const {
-    bool cut = false;
-    while (SteadyClock::now().time_since_epoch().count() < cut_until_) {
-      cut = true;
+  // Waits for the end of a partition. Returns whether there was one.
+  bool wait_for_partition_end() const {
+    bool partitioned = false;
+    while (SteadyClock::now().time_since_epoch().count() < partition_until_) {
+      partitioned = true;
       std::this_thread::sleep_for(std::chrono::milliseconds(kPollMs));
     }
-    return cut;
+    return partitioned;
   }
 
-  bool pass(Socket& from, Socket& to) {
+  // Relays the available bytes. Returns false once either connection has ended or is to be reset.
+  bool relay_available(Socket& from, Socket& to) {
     from.received.clear();
-    // What its sender has taken back is not passed on, though it may have come this far.
-    if (!from.read_more() || from.is_reset() || chance(faults_.reset_later)) return false;
-    std::this_thread::sleep_for(faults_.longest_delay * draw());
-    if (from.received.size() < 2 || !chance(faults_.split)) return to.send(from.received);
+    // Data of a connection that its sender has reset is dropped, even if it was received before the reset.
+    if (!from.read_more() || from.is_reset() || chance(faults_.reset_on_transfer)) return false;
+    std::this_thread::sleep_for(faults_.max_delay * draw());
+    if (from.received.size() < 2 || !chance(faults_.split_transfer)) return to.send(from.received);
     const auto half = from.received.size() / 2;
     if (!to.send(from.received.substr(0, half))) return false;
-    std::this_thread::sleep_for(faults_.longest_delay * draw());
+    std::this_thread::sleep_for(faults_.max_delay * draw());
     return to.send(from.received.substr(half));
   }
 
-  static void end(Socket& from, Socket& to) {
+  static void reset_both(Socket& from, Socket& to) {
     from.reset();
     to.reset();
   }
 
-  bool chance(double part) { return draw() < part; }
+  bool chance(double probability) { return draw() < probability; }
+  // A uniform random number in [0, 1).
   double draw() {
     const std::lock_guard lock(mutex_);
     return std::uniform_real_distribution<double>(0, 1)(random_);
@@ -84,7 +90,7 @@
   Faults faults_;
   std::mutex mutex_;
   std::mt19937_64 random_;
-  std::atomic<SteadyClock::rep> cut_until_{0};
+  std::atomic<SteadyClock::rep> partition_until_{0};
   Server server_;
 };
 
--- a/tests/faults/traffic.hpp
+++ b/tests/faults/traffic.hpp
@@ -1,4 +1,4 @@
-// Clients that use their connections until the broker ends them, each in a thread of its own.
+// Clients that send requests over a connection until the broker closes it, and then connect again.
 #pragma once
 
 #include <atomic>
@@ -12,36 +12,44 @@
 
 namespace bellstair::test {
 
-// A broker as its clients know it.
+// A broker's address, and up to when the requests that it receives must be answered.
 struct BrokerState {
   std::string address;
-  // What was sent later may meet the broker's end.
-  std::atomic<SteadyClock::rep> told_to_end{0};
-  std::atomic<SteadyClock::rep> answers_until{SteadyTime::max().time_since_epoch().count()};
-
-  [[nodiscard]] bool owes(SteadyTime sent) const { return sent.time_since_epoch().count() < answers_until; }
+  // The time of the shutdown request; 0 before it.
+  std::atomic<SteadyClock::rep> shutdown_requested{0};
+  // Requests sent later may be lost when the broker closes their connection.
+  std::atomic<SteadyClock::rep> must_answer_until{SteadyTime::max().time_since_epoch().count()};
+
+  // Whether a request sent at this time must be answered before the connection closes.
+  [[nodiscard]] bool must_answer(SteadyTime sent) const {
+    return sent.time_since_epoch().count() < must_answer_until;
+  }
 };
 
+// Runs in a thread of its own until `stopped`. The seed determines the sequence of random draws. Violations
+// and responses are entered into the run record.
 class TrafficClient {
  public:
-  struct Habits {
-    double leaves = 0.03;   // of bursts: it closes its connection instead of reading
-    double cancels = 0.03;  // of requests
-    int most_open = 3;
-    std::chrono::milliseconds longest_idle{60};
+  // Probabilities and bounds of the client's behaviour.
+  struct Options {
+    double disconnect_rate = 0.03;  // of bursts: the client resets its connection instead of reading
+    double cancel_rate = 0.03;      // of requests
+    int max_open_requests = 3;
+    std::chrono::milliseconds max_idle{60};
     bool loads_are_unsafe = false;
-    bool connections_may_break = false;  // system calls of the broker fail so that they do
-    // While the broker ends, a connection's end may only meet requests that were sent just before.
-    bool ends_cross_at_once = false;
+    bool connections_may_break = false;  // the broker's system calls fail with errors that break connections
+    // While the broker shuts down, a connection may close without a response only to requests that were sent
+    // just before.
+    bool strict_shutdown = false;
   };
 
   TrafficClient(RunRecord& record, const std::vector<std::unique_ptr<BrokerState>>& brokers,
-                std::uint64_t seed, Habits habits, std::atomic<bool>& stopped)
+                std::uint64_t seed, Options options, std::atomic<bool>& stopped)
       : record_(record),
         brokers_(brokers),
-        habits_(habits),
+        options_(options),
         random_(seed),
-        name_(seed),
+        ticket_prefix_(seed),
         stopped_(stopped),
         thread_([this] { run(); }) {}
   ~TrafficClient() { thread_.join(); }
@@ -52,12 +60,12 @@
   struct Pending {
     std::string ticket, line;
     SteadyTime sent;
-    bool sent_again = false, cancelled = false;
+    bool resent = false, cancelled = false;
   };
   using PendingById = std::map<int, Pending>;
   static constexpr auto kPause = 20ms;
-  // 50 ms by the protocol; the rest is for the test's own threads.
-  static constexpr auto kLongestCrossing = 150ms;
+  // 50 ms by the protocol; the rest allows for scheduling delays of the test's own threads.
+  static constexpr auto kMaxCrossing = 150ms;
   static constexpr int kKeys = 4;
 
   void run() {
@@ -66,7 +74,7 @@
         connect();
         use_connection();
       } catch (const std::exception&) {
-        std::this_thread::sleep_for(kPause);  // nobody listens
+        std::this_thread::sleep_for(kPause);  // the broker is not listening
       }
     }
   }
@@ -78,125 +86,134 @@
     cancelled_.clear();
   }
 
-  // Until it has ended.
+  // Sends bursts of requests until the connection has closed.
   void use_connection() {
     while (!stopped_) {
       PendingById pending;
-      const int count = 1 + static_cast<int>(random_() % static_cast<unsigned>(habits_.most_open));
-      for (int i = 0; i < count; ++i) ask(pending);
-      if (draw() < habits_.leaves) return socket_.reset();
-      if (!read_answers(pending)) return;
-      std::this_thread::sleep_for(habits_.longest_idle * draw());
+      const int count = 1 + static_cast<int>(random_() % static_cast<unsigned>(options_.max_open_requests));
+      for (int i = 0; i < count; ++i) send_request(pending);
+      if (draw() < options_.disconnect_rate) return socket_.reset();
+      if (!read_responses(pending)) return;
+      std::this_thread::sleep_for(options_.max_idle * draw());
     }
   }
 
-  void ask(PendingById& pending) {
+  void send_request(PendingById& pending) {
     static constexpr std::array kClasses{"lookup", "load", "once"};
-    const std::string cls = kClasses.at(random_() % kClasses.size());
+    const std::string class_name = kClasses.at(random_() % kClasses.size());
     char ticket[17];
-    std::snprintf(ticket, sizeof ticket, "%08llx%08x", static_cast<unsigned long long>(name_), ++asked_);
+    std::snprintf(ticket, sizeof ticket, "%08llx%08x", static_cast<unsigned long long>(ticket_prefix_),
+                  ++request_count_);
     json params{{"txn", ticket},
                 {"limit", 300 + random_() % 2500},
                 {"team", "acme"},
                 {"data", platform::to_base64("SELECT a FROM sales_17.orders")}};
     std::string key;
-    if (cls == "load") {
+    if (class_name == "load") {
       key = "00000000000000f" + std::to_string(random_() % kKeys);
       params["item"] = key;
-      // Requests of one key lie apart, so that their order is known.
+      // Requests of one key are sent at an interval, so that their order is certain.
       std::this_thread::sleep_for(kPause);
     }
-    const auto effect = cls == "lookup"                              ? RequestEffect::safe
-                        : cls == "load" && !habits_.loads_are_unsafe ? RequestEffect::keyed
-                                                                     : RequestEffect::unsafe;
-    record_.taken(ticket, effect, key.empty() ? key : broker_->address + " " + key);
+    const auto effect = class_name == "lookup"                               ? RequestEffect::safe
+                        : class_name == "load" && !options_.loads_are_unsafe ? RequestEffect::keyed
+                                                                             : RequestEffect::unsafe;
+    record_.request_sent(ticket, effect, key.empty() ? key : broker_->address + " " + key);
     const int id = ++last_id_;
-    auto& one = pending[id];
-    one.ticket = ticket;
-    one.line = json{{"jsonrpc", "2.0"}, {"id", id}, {"method", cls}, {"params", params}}.dump() + "\n";
-    one.sent = SteadyClock::now();
-    socket_->send(one.line);
-    if (draw() < habits_.cancels) {
-      one.cancelled = true;
+    auto& request = pending[id];
+    request.ticket = ticket;
+    request.line =
+        json{{"jsonrpc", "2.0"}, {"id", id}, {"method", class_name}, {"params", params}}.dump() + "\n";
+    request.sent = SteadyClock::now();
+    socket_->send(request.line);
+    if (draw() < options_.cancel_rate) {
+      request.cancelled = true;
       cancelled_.insert(id);
       socket_->send(json{{"jsonrpc", "2.0"}, {"method", "cancel"}, {"params", {{"id", id}}}}.dump() + "\n");
     }
   }
 
-  // False: the connection has ended.
-  bool read_answers(PendingById& pending) {
-    while (std::any_of(pending.begin(), pending.end(), [](const auto& p) { return !p.second.cancelled; })) {
+  // Reads until all requests but the cancelled ones are answered. Returns false if the connection closes
+  // first.
+  bool read_responses(PendingById& pending) {
+    while (std::any_of(pending.begin(), pending.end(),
+                       [](const auto& entry) { return !entry.second.cancelled; })) {
       std::string line;
       try {
         line = socket_->read_line();
       } catch (const std::exception& error) {
         if (std::string(error.what()) == "timed out waiting for data") {
-          for (const auto& [id, one] : pending) {
-            if (!one.cancelled) record_.violated("no answer for " + one.ticket);
+          for (const auto& [id, request] : pending) {
+            if (!request.cancelled) record_.add_violation("no response for " + request.ticket);
           }
           return false;
         }
-        connection_ended(pending);
+        report_lost_requests(pending);
         return false;
       }
-      take_answer(json::parse(line), pending);
+      handle_response(json::parse(line), pending);
     }
     return true;
   }
 
-  void take_answer(const json& answer, PendingById& pending) {
-    if (!answer["id"].is_number()) return record_.violated("an answer to nothing: " + answer.dump());
-    const auto found = pending.find(answer["id"].get<int>());
+  void handle_response(const json& response, PendingById& pending) {
+    if (!response["id"].is_number())
+      return record_.add_violation("response with an unknown id: " + response.dump());
+    const auto found = pending.find(response["id"].get<int>());
     if (found == pending.end()) {
-      // The answer to a cancelled request may have crossed the cancel.
-      if (cancelled_.erase(answer["id"].get<int>()) == 0)
-        record_.violated("an answer to nothing: " + answer.dump());
+      // The response may have been sent before the broker received the cancel.
+      if (cancelled_.erase(response["id"].get<int>()) == 0)
+        record_.add_violation("response with an unknown id: " + response.dump());
       return;
     }
     const auto ticket = found->second.ticket;
     cancelled_.erase(found->first);
     pending.erase(found);
-    if (answer.contains("result")) {
-      if (result_body(answer) != ticket + "\ty\tz\n")
-        record_.violated("another request's answer for " + ticket);
-      return record_.answered(ticket, RunRecord::Answer::served);
+    if (response.contains("result")) {
+      if (result_body(response) != ticket + "\ty\tz\n")
+        record_.add_violation("response of another request for " + ticket);
+      return record_.response_received(ticket, RunRecord::Outcome::served);
     }
-    const bool refused = answer["error"]["code"] == -32066;
-    record_.answered(ticket, refused ? RunRecord::Answer::refused : RunRecord::Answer::failed);
+    const bool refused = response["error"]["code"] == -32066;
+    record_.response_received(ticket, refused ? RunRecord::Outcome::refused : RunRecord::Outcome::failed);
   }
 
-  // A request may cross the end of a connection at rest. One that has run was taken, and is owed its answer.
-  void connection_ended(const PendingById& pending) {
-    for (const auto& [id, one] : pending) {
-      if (one.cancelled || habits_.connections_may_break || may_end(one)) continue;
-      const auto since_told = [this](SteadyTime time) {
-        return std::to_string((time.time_since_epoch() - SteadyClock::duration(broker_->told_to_end)) / 1ms);
+  // Reports the requests whose responses were lost. A request may arrive just as the broker closes an idle
+  // connection, and then needs no response; a request that was executed had been accepted and needs one.
+  void report_lost_requests(const PendingById& pending) {
+    for (const auto& [id, request] : pending) {
+      if (request.cancelled || options_.connections_may_break || may_close_unanswered(request)) continue;
+      const auto ms_since_shutdown = [this](SteadyTime time) {
+        return std::to_string((time.time_since_epoch() - SteadyClock::duration(broker_->shutdown_requested)) /
+                              1ms);
       };
-      record_.violated("the connection ended without an answer for " + one.ticket + ", sent " +
-                       since_told(one.sent) + " ms and ended " + since_told(SteadyClock::now()) +
-                       " ms after its broker " + broker_->address + " was told to end");
+      record_.add_violation("the connection closed without a response for " + request.ticket + ", sent " +
+                            ms_since_shutdown(request.sent) + " ms and closed " +
+                            ms_since_shutdown(SteadyClock::now()) + " ms after its broker " +
+                            broker_->address + " was asked to shut down");
     }
   }
 
-  // True: the connection's end lost nothing that was owed.
-  [[nodiscard]] bool may_end(const Pending& one) {
-    if (broker_->owes(one.sent)) return !record_.ever_ran(one.ticket);
-    return !habits_.ends_cross_at_once || SteadyClock::now() - one.sent <= kLongestCrossing;
+  // Whether the connection may close without a response to this request.
+  [[nodiscard]] bool may_close_unanswered(const Pending& request) {
+    if (broker_->must_answer(request.sent)) return !record_.was_executed(request.ticket);
+    return !options_.strict_shutdown || SteadyClock::now() - request.sent <= kMaxCrossing;
   }
 
+  // A uniform random number in [0, 1).
   double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   RunRecord& record_;
   const std::vector<std::unique_ptr<BrokerState>>& brokers_;
-  Habits habits_;
+  Options options_;
   std::mt19937_64 random_;
-  std::uint64_t name_;
+  std::uint64_t ticket_prefix_;
   std::atomic<bool>& stopped_;
   BrokerState* broker_ = nullptr;
   std::optional<Socket> socket_;
   int last_id_ = 0;
   std::set<int> cancelled_;
-  unsigned asked_ = 0;
+  unsigned request_count_ = 0;
   std::thread thread_;
 };
 
