--- a/tests/net/harness.hpp
+++ b/tests/net/harness.hpp
@@ -64,7 +64,8 @@
   bool read_more() {
     char buffer[16384];
     const auto size = ::recv(fd_.get(), buffer, sizeof buffer, 0);
-    if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) throw std::runtime_error("timed out waiting for data");
+    if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
+      throw std::runtime_error("timed out waiting for data");
     if (size <= 0) return false;
     received.append(buffer, static_cast<std::size_t>(size));
     return true;
