--- a/src/app/broker.cpp
+++ b/src/app/broker.cpp
@@ -53,7 +53,7 @@
 net::Fd listen(const std::string& address, const char* field) {
   const auto at = net::parse_address(address);
   if (!at) throw StartupError(std::string(field) + ": is not an address with a port");
-  const auto give_up_at = core::monotonic_now() + kMaxListenWait;
+  const auto listen_deadline = core::monotonic_now() + kMaxListenWait;
   bool logged = false;
   while (true) {
     auto fd = net::listen_tcp(*at);
@@ -64,7 +64,7 @@
     const int error = errno;
     const auto error_text = std::string(field) + ": " + address + ": " + std::strerror(error);
     const bool transient = error == EADDRINUSE || net::local_shortage(error);
-    if (!transient || core::monotonic_now() >= give_up_at) throw StartupError(error_text);
+    if (!transient || core::monotonic_now() >= listen_deadline) throw StartupError(error_text);
     if (!std::exchange(logged, true)) std::fprintf(stderr, "bellstair: %s; retrying\n", error_text.c_str());
     std::this_thread::sleep_for(kListenRetryInterval);
   }
@@ -89,7 +89,7 @@
 // Always false before draining, since it only decides when the program can exit.
 bool Broker::output_pending() const {
   if (reducer_.lifecycle().phase() < core::Phase::draining) return false;
-  return platform_front_->has_unsent_output() || (mysql_front_ && mysql_front_->unwritten());
+  return platform_front_->has_unsent_output() || (mysql_front_ && mysql_front_->has_unsent_output());
 }
 
 Broker::Broker(ev::loop_ref loop, config::Config config, config::Fronts fronts, std::string file)
@@ -118,7 +118,7 @@
     directory_ = std::make_unique<directory::Ldap>(loop, *fronts_.directory, config_.names);
   if (fronts_.mysql) {
     mysql::Front::Options options;
-    options.most_connections = max_clients / 2;
+    options.max_connections = max_clients / 2;
     options.escaped_rows = fronts_.mysql_engines.has_value();
     if (directory_) {
       options.lookup = [this](const std::string& user, const std::string& password, directory::Done done) {
@@ -197,7 +197,7 @@
     process_events();
     engine_driver_->process_pending();
     platform_front_->release_closed();
-    if (mysql_front_) mysql_front_->settle();
+    if (mysql_front_) mysql_front_->release_closed();
   } while (!events_.empty());
   const auto due = reducer_.next_policy_run();
   if (!due) return;
--- a/src/config/fronts.cpp
+++ b/src/config/fronts.cpp
@@ -60,7 +60,7 @@
   out.user_attribute = string_or("user_attribute", "uid");
   out.tenant_attribute = string_or("tenant_attribute", "o");
   out.timeout = milliseconds_or(in, "timeout_ms", 2000);
-  out.cache = milliseconds_or(in, "cache_ms", 60000);
+  out.cache_time = milliseconds_or(in, "cache_ms", 60000);
   return out;
 }
 }  // namespace
--- a/src/config/fronts.hpp
+++ b/src/config/fronts.hpp
@@ -26,15 +26,15 @@
 };
 // The admission script and its limits.
 struct Plugin {
-  std::string script;      // path of the Lua file
-  core::Time time{};       // time limit of one call
-  std::size_t memory = 0;  // limit in bytes
+  std::string script;       // path of the Lua file
+  core::Time time_limit{};  // of one call
+  std::size_t memory_limit_bytes = 0;
 };
 // The LDAP directory of users: its address ("IPv4:port"), the service account that searches (anonymous if
 // bind_dn is empty), the DN below which users are searched, and the attributes of user and tenant names.
 struct Directory {
   std::string address, bind_dn, bind_password, base, user_attribute, tenant_attribute;
-  core::Time timeout{}, cache{};  // of one lookup; how long a successful one is cached
+  core::Time timeout{}, cache_time{};  // of one lookup; how long a successful one is cached
 };
 // The whole file; what it doesn't mention is off.
 struct Fronts {
--- a/src/directory/ldap.cpp
+++ b/src/directory/ldap.cpp
@@ -205,7 +205,7 @@
   active_.erase(entry);
   if (result.status == LookupResult::Status::granted) {
     if (cache_.size() >= kMaxCacheEntries) cache_.clear();
-    cache_[cache_key(lookup.user(), lookup.password())] = {result, now_ + config_.cache};
+    cache_[cache_key(lookup.user(), lookup.password())] = {result, now_ + config_.cache_time};
   }
   lookup.take_done()(result);
 }
--- a/src/mysql/engines.cpp
+++ b/src/mysql/engines.cpp
@@ -42,12 +42,12 @@
 };
 
 Engines::Engines(ev::loop_ref loop, net::ConnectionPool::Limits limits, config::MysqlEngines account,
-                 std::vector<std::string> class_names, net::EventSink post)
+                 std::vector<std::string> class_names, net::EventSink emit)
     : pool_(loop, limits,
             [this](Connection& c, std::function<void(bool)> done) { begin_handshake(c, std::move(done)); }),
       account_(std::move(account)),
       class_names_(std::move(class_names)),
-      post_(std::move(post)) {}
+      emit_(std::move(emit)) {}
 
 // ---- handshake
 
@@ -133,14 +133,14 @@
   auto& attempt = attempts_[id];
   attempt.engine = effect.engine;
   attempt.result.id = id;
-  attempt.pool_ticket = pool_.acquire(effect.engine, [this, id](Connection* connection) {
-    if (connection == nullptr) return complete(id, AttemptOutcome::connect_failed);
+  attempt.waiter_id = pool_.acquire(effect.engine, [this, id](Connection* connection) {
+    if (connection == nullptr) return end_attempt(id, AttemptOutcome::connect_failed);
     auto& waiting_attempt = attempts_.at(id);
     waiting_attempt.connection = connection;
     waiting_attempt.stage = Stage::ready;
     connection->on_data = [this, id](std::string_view bytes) { handle_data(id, bytes); };
     connection->on_lost = [this, id](bool) { on_connection_lost(id); };
-    post_(core::AttemptReady{id});
+    emit_(core::AttemptReady{id});
   });
 }
 
@@ -177,9 +177,9 @@
   if (request.parameters.empty()) {
     payload = write_query({request.body, attributes}, session.attributes());
   } else {
-    auto values = sql::unpack(request.parameters);
+    auto values = sql::decode_values(request.parameters);
     if (!values || values->size() != attempt.prepared.parameters)
-      return complete(id, AttemptOutcome::error, "the engine counts other parameters");
+      return end_attempt(id, AttemptOutcome::error, "the engine counts other parameters");
     payload =
         write_execute({attempt.prepared.statement_id, std::move(*values), attributes}, session.attributes());
   }
@@ -194,19 +194,19 @@
   auto& attempt = found->second;
   switch (attempt.stage) {
     case Stage::connecting:
-      pool_.cancel(attempt.engine, attempt.pool_ticket);
-      return complete(id, AttemptOutcome::expired);
+      pool_.cancel(attempt.engine, attempt.waiter_id);
+      return end_attempt(id, AttemptOutcome::expired);
     case Stage::ready:
-      return complete(id, AttemptOutcome::expired);
+      return end_attempt(id, AttemptOutcome::expired);
     case Stage::preparing:
       // The response is still to come and must not be taken for that of another command.
       pool_.discard(*std::exchange(attempt.connection, nullptr));
-      return complete(id, AttemptOutcome::expired);
+      return end_attempt(id, AttemptOutcome::expired);
     case Stage::executing: {
       attempt.stage = Stage::cancelling;
       const auto connection_id = static_cast<Session&>(*attempt.connection->session).connection_id;
       return kill_connection(attempt.engine, connection_id,
-                             [this, id] { complete(id, AttemptOutcome::cancelled); });
+                             [this, id] { end_attempt(id, AttemptOutcome::cancelled); });
     }
     case Stage::cancelling:
       return;
@@ -225,7 +225,7 @@
     const auto result = !connected  ? heronwell::AttemptStatus::connect_failed
                         : responded ? heronwell::AttemptStatus::served
                                     : heronwell::AttemptStatus::timed_out;
-    post_(core::ProbeEnded{engine, result, {}});
+    emit_(core::ProbeEnded{engine, result, {}});
   });
 }
 
@@ -313,7 +313,7 @@
       const bool unavailable = error.code == kTooManyConnections || error.code == kShuttingDown ||
                                error.code == kTooManyUserConnections;
       // Nothing has run. Any other error lies in the statement, so every engine would report it.
-      return complete(id, unavailable ? AttemptOutcome::rejected : AttemptOutcome::error, error.message);
+      return end_attempt(id, unavailable ? AttemptOutcome::rejected : AttemptOutcome::error, error.message);
     }
     attempt.prepared = read_prepared(payload);
     const auto packets = [](std::size_t count) {
@@ -337,8 +337,8 @@
 void Engines::handle_result(AttemptId id, Attempt& attempt, const std::string& payload) {
   if (is_error(payload)) {
     const auto error = read_error(payload);
-    if (attempt.stage == Stage::cancelling) return;  // completed by the response to the KILL
-    return complete(id, AttemptOutcome::error, error.message);
+    if (attempt.stage == Stage::cancelling) return;  // ended by the response to the KILL
+    return end_attempt(id, AttemptOutcome::error, error.message);
   }
   const bool binary = !attempt.request.parameters.empty();
   if (attempt.column_count == 0) {
@@ -348,7 +348,7 @@
       attempt.schema.has_rows = false;
       attempt.schema.affected_rows = in.lenenc_int();
       attempt.schema.insert_id = in.lenenc_int();
-      return complete(id, AttemptOutcome::served);
+      return end_attempt(id, AttemptOutcome::served);
     }
     attempt.column_count = in.lenenc_int();
     if (attempt.column_count > 4096) throw Malformed("too many columns");
@@ -362,7 +362,7 @@
     return;
   }
   if (is_eof(payload)) {
-    if (attempt.reading_rows) return complete(id, AttemptOutcome::served);
+    if (attempt.reading_rows) return end_attempt(id, AttemptOutcome::served);
     attempt.reading_rows = true;
     return;
   }
@@ -382,15 +382,15 @@
     case Stage::connecting:
     case Stage::ready:
     case Stage::preparing:
-      return complete(id, AttemptOutcome::connect_failed);  // it was never executed
+      return end_attempt(id, AttemptOutcome::connect_failed);  // it was never executed
     case Stage::executing:
-      return complete(id, AttemptOutcome::connection_reset);  // it may have been
+      return end_attempt(id, AttemptOutcome::connection_reset);  // it may have been
     case Stage::cancelling:
-      return complete(id, AttemptOutcome::cancelled);
+      return end_attempt(id, AttemptOutcome::cancelled);
   }
 }
 
-void Engines::complete(AttemptId id, AttemptOutcome outcome, std::string message) {
+void Engines::end_attempt(AttemptId id, AttemptOutcome outcome, std::string message) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   auto attempt = std::move(found->second);
@@ -410,7 +410,7 @@
   } else {
     attempt.result.body = std::move(message);
   }
-  post_(std::move(attempt.result));
+  emit_(std::move(attempt.result));
 }
 
 }  // namespace bellstair::mysql
--- a/src/mysql/engines.hpp
+++ b/src/mysql/engines.hpp
@@ -23,7 +23,7 @@
 class Engines : public net::EngineDriver {
  public:
   Engines(ev::loop_ref loop, net::ConnectionPool::Limits limits, config::MysqlEngines account,
-          std::vector<std::string> class_names, net::EventSink post);
+          std::vector<std::string> class_names, net::EventSink emit);
 
   void run(const core::StartAttempt& effect) override;
   void run(core::Transmit& effect) override;
@@ -41,7 +41,7 @@
   struct Attempt {
     core::EngineId engine = 0;
     Stage stage = Stage::connecting;
-    std::uint64_t pool_ticket = 0;
+    std::uint64_t waiter_id = 0;
     Connection* connection = nullptr;
     core::Transmit request;
     // State of the response that is being received.
@@ -63,7 +63,7 @@
   void handle_result(core::AttemptId id, Attempt& attempt, const std::string& payload);
   void execute(core::AttemptId id, Attempt& attempt);
   void on_connection_lost(core::AttemptId id);
-  void complete(core::AttemptId id, core::AttemptOutcome outcome, std::string message = {});
+  void end_attempt(core::AttemptId id, core::AttemptOutcome outcome, std::string message = {});
   // Sends a KILL for the engine's connection with this id; `done` is called whether or not it succeeds.
   void kill_connection(core::EngineId engine, std::uint32_t connection_id, std::function<void()> done);
   // Sends a command whose response is a single packet, over any free connection to the engine. `done` is
@@ -74,7 +74,7 @@
   net::ConnectionPool pool_;
   config::MysqlEngines account_;
   std::vector<std::string> class_names_;
-  net::EventSink post_;
+  net::EventSink emit_;
   std::map<core::AttemptId, Attempt> attempts_;
   std::unordered_map<std::uint64_t, std::function<void()>>
       timeout_handlers_;  // of out-of-band commands, by serial
--- a/src/mysql/front.cpp
+++ b/src/mysql/front.cpp
@@ -42,7 +42,7 @@
 
 Front::Front(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config,
              const config::NameIndex& names, const heronwell::Settings& settings, Options options,
-             std::uint64_t& last_client_handle, std::uint64_t seed, EventSink post)
+             std::uint64_t& last_client_handle, std::uint64_t seed, EventSink emit)
     : loop_(loop),
       config_(config),
       names_(names),
@@ -50,11 +50,11 @@
       options_(std::move(options)),
       last_client_handle_(last_client_handle),
       ticket_random_(seed),
-      post_(std::move(post)),
+      emit_(std::move(emit)),
       listener_(loop, std::move(listening), [this](net::Fd fd) { accept(std::move(fd)); }) {}
 
 void Front::accept(net::Fd fd) {
-  if (connections_.size() >= options_.most_connections) return;
+  if (connections_.size() >= options_.max_connections) return;
   auto created = std::make_unique<Connection>(loop_, std::move(fd));
   auto& connection = *created;
   connection.serial = ++last_serial_;
@@ -264,7 +264,7 @@
     connection.binary_result = binary_result;
     connection.is_read = word == "select" || word == "with" || word == "show";
     running_requests_[request.client] = connection.serial;
-    post_(core::RequestArrived{std::move(request)});
+    emit_(core::RequestArrived{std::move(request)});
   } catch (const MappingError& error) {
     send_error(connection, error.error);
   }
@@ -334,7 +334,7 @@
 void Front::close(Connection& connection) {
   if (connection.request_client != 0) {
     running_requests_.erase(connection.request_client);
-    post_(core::RequestCancelled{connection.request_client});
+    emit_(core::RequestCancelled{connection.request_client});
   }
   connection.stream.close();
   const auto found = connections_.find(connection.serial);
@@ -343,7 +343,7 @@
   connections_.erase(found);
 }
 
-bool Front::unwritten() const {
+bool Front::has_unsent_output() const {
   return std::ranges::any_of(connections_, [](const auto& c) { return c.second->stream.unsent_bytes() > 0; });
 }
 
--- a/src/mysql/front.hpp
+++ b/src/mysql/front.hpp
@@ -25,27 +25,27 @@
 
 // Listens for MySQL clients. The references that the constructor takes must outlive the front;
 // `last_client_handle` is shared with the other fronts. `seed` seeds the tickets of requests. Events are sent
-// to `post`.
+// to `emit`.
 class Front {
  public:
   using EventSink = std::function<void(core::Event)>;
   struct Options {
-    std::size_t most_connections = 256;  // further ones are closed at once
-    bool escaped_rows = false;           // engines escape rows, see parse_rows()
-    directory::Lookup lookup;            // of users that the fronts file does not list; empty: no directory
+    std::size_t max_connections = 256;  // further ones are closed at once
+    bool escaped_rows = false;          // engines escape rows, see parse_rows()
+    directory::Lookup lookup;           // of users that the fronts file does not list; empty: no directory
   };
   Front(ev::loop_ref loop, net::Fd listening, const config::MysqlFront& config,
         const config::NameIndex& names, const heronwell::Settings& settings, Options options,
-        std::uint64_t& last_client_handle, std::uint64_t seed, EventSink post);
+        std::uint64_t& last_client_handle, std::uint64_t seed, EventSink emit);
 
   // Sends the answer of a request. Returns false if the client is not one of this front.
   bool run(const core::Answer& answer);
   // Frees closed connections; called once in each iteration of the loop, outside of their handlers.
-  void settle() { closed_.clear(); }
+  void release_closed() { closed_.clear(); }
   // Advances the clock and closes connections that have not logged in in time.
   void tick(core::Time now);
   // Whether output is pending on any connection.
-  [[nodiscard]] bool unwritten() const;
+  [[nodiscard]] bool has_unsent_output() const;
 
  private:
   // Limits for each connection: bytes of a packet and of pending output, number of prepared statements.
@@ -115,7 +115,7 @@
   Options options_;
   std::uint64_t& last_client_handle_;
   std::mt19937_64 ticket_random_;
-  EventSink post_;
+  EventSink emit_;
   net::Listener listener_;
   std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
   std::unordered_map<core::ClientHandle, std::uint64_t>
--- a/src/mysql/mapping.cpp
+++ b/src/mysql/mapping.cpp
@@ -104,9 +104,10 @@
   }
   core::ClientRequest out;
   out.class_index = class_of(options, statement, names, settings);
-  const auto& cls = settings.classes.at(out.class_index);
+  const auto& class_settings = settings.classes.at(out.class_index);
   out.tenant = tenant;
-  const double max_timeout_ms = std::chrono::duration<double, std::milli>(cls.request_timeout).count();
+  const double max_timeout_ms =
+      std::chrono::duration<double, std::milli>(class_settings.request_timeout).count();
   out.timeout = core::Time(static_cast<std::int64_t>(number_option(options, "limit", max_timeout_ms) * 1e6));
   if (options.contains("cpu"))
     out.estimated_work = core::Time(static_cast<std::int64_t>(number_option(options, "cpu", 0) * 1e6));
@@ -117,15 +118,15 @@
   if (out.idempotency_key.size() > 128 || !std::ranges::all_of(out.idempotency_key, valid_character))
     throw_mapping_error("unique holds what no key may hold");
   // Without an idempotency key, a resend by the client could not be distinguished from a new request.
-  if (cls.idempotency == heronwell::Idempotency::keyed && out.idempotency_key.empty())
-    throw_mapping_error("unique is missing: " + cls.name + " needs it");
+  if (class_settings.idempotency == heronwell::Idempotency::keyed && out.idempotency_key.empty())
+    throw_mapping_error("unique is missing: " + class_settings.name + " needs it");
   if (const auto& item = options["item"]; !item.empty()) {
     const auto [end, error] = std::from_chars(item.data(), item.data() + item.size(), out.order_key, 16);
     if (error != std::errc() || end != item.data() + item.size())
       throw_mapping_error("item is not up to 16 hex digits");
   }
   out.body = statement;
-  if (!values.empty()) out.parameters = sql::pack(values);
+  if (!values.empty()) out.parameters = sql::encode_values(values);
   out.data_group = sql::table_group(statement);
   return out;
 }
--- a/src/mysql/result.cpp
+++ b/src/mysql/result.cpp
@@ -49,12 +49,12 @@
     values.emplace_back(schema.insert_id);
   }
   for (const auto& name : schema.column_names) values.emplace_back(name);
-  return sql::pack(values);
+  return sql::encode_values(values);
 }
 
 std::optional<ResultSchema> decode_schema(std::string_view encoded) {
   if (encoded.empty()) return std::nullopt;
-  const auto values = sql::unpack(encoded);
+  const auto values = sql::decode_values(encoded);
   if (!values || values->empty()) return std::nullopt;
   const auto number = [&](std::size_t i) {
     const auto* value = i < values->size() ? std::get_if<std::uint64_t>(&(*values)[i]) : nullptr;
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -34,13 +34,13 @@
 }
 
 std::uint64_t ConnectionPool::acquire(std::uint32_t id, AcquireCallback callback) {
-  engines_[id].waiting.push_back({++last_ticket_, std::move(callback)});
+  engines_[id].waiting.push_back({++last_waiter_id_, std::move(callback)});
   pending_engines_.push_back(id);
-  return last_ticket_;
+  return last_waiter_id_;
 }
 
-void ConnectionPool::cancel(std::uint32_t id, std::uint64_t ticket) {
-  std::erase_if(engines_[id].waiting, [ticket](const Waiter& w) { return w.ticket == ticket; });
+void ConnectionPool::cancel(std::uint32_t id, std::uint64_t waiter_id) {
+  std::erase_if(engines_[id].waiting, [waiter_id](const Waiter& w) { return w.waiter_id == waiter_id; });
 }
 
 void ConnectionPool::release(Connection& connection) {
--- a/src/net/pool.hpp
+++ b/src/net/pool.hpp
@@ -61,10 +61,10 @@
   void remove_engine(std::uint32_t engine);
 
   // Requests a connection to the engine. The callback is called from process_pending(), never from within
-  // this function. Returns a ticket for cancel(), which is never 0.
+  // this function. Returns an id for cancel(), which is never 0.
   std::uint64_t acquire(std::uint32_t engine, AcquireCallback callback);
   // Cancels a request for a connection: its callback is not called any more.
-  void cancel(std::uint32_t engine, std::uint64_t ticket);
+  void cancel(std::uint32_t engine, std::uint64_t waiter_id);
   // Returns a connection that is fit for another call.
   void release(Connection& connection);
   // Resets and removes a connection that must not be used again.
@@ -95,7 +95,7 @@
 
  private:
   struct Waiter {
-    std::uint64_t ticket = 0;
+    std::uint64_t waiter_id = 0;
     AcquireCallback callback;
   };
   struct Engine {
@@ -132,7 +132,7 @@
       closed_;  // freed later, when none of their handlers can be running
   core::TimerWheel<std::uint64_t> connect_timeouts_{std::chrono::milliseconds(5)};
   std::vector<std::uint32_t> pending_engines_;  // engines that process_pending() looks at
-  std::uint64_t last_connection_id_ = 0, last_ticket_ = 0;
+  std::uint64_t last_connection_id_ = 0, last_waiter_id_ = 0;
   bool connect_deferred_ = false;  // a connect waits for a descriptor
   Time now_{}, last_sweep_{};
   Counts counts_;
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -53,7 +53,7 @@
   [[nodiscard]] std::size_t unsent_bytes() const { return output_.size() - output_offset_; }
   // Bytes passed to the kernel since the connection was opened.
   [[nodiscard]] std::size_t sent_bytes() const { return sent_bytes_; }
-  // For an idle stream: true if the peer has closed it, or has sent data that was not asked for.
+  // For an idle stream: true if the peer has closed it, or has sent unsolicited data.
   [[nodiscard]] bool closed_by_peer() const;
 
  private:
--- a/src/platform/engines.cpp
+++ b/src/platform/engines.cpp
@@ -158,9 +158,9 @@
   std::fprintf(stderr,
                "bellstair: engines: %s; connects %zu started, %zu failed, %zu timed out, %zu reset; "
                "connections %zu assigned, %zu closed by peer, %zu lost while idle, %zu idle timeouts, "
-               "%zu evicted, %zu exhausted; calls %zu answered, %zu unsent, %zu broken, %zu timed out; "
+               "%zu evicted, %zu exhausted; calls %zu responded, %zu unsent, %zu broken, %zu timed out; "
                "attempts %zu in flight, %zu served, %zu error, %zu rejected, %zu expired, "
-               "%zu not connected, %zu reset, %zu dropped, %zu cancelled\n",
+               "%zu connect failed, %zu connection reset, %zu query dropped, %zu cancelled\n",
                pool_.state().c_str(), counts.started, counts.failed, counts.timed_out, counts.reset,
                counts.assigned, counts.closed_by_peer, counts.lost_idle, counts.idle_timeouts, counts.evicted,
                counts.exhausted, call(CallOutcome::responded), call(CallOutcome::unsent),
@@ -178,7 +178,7 @@
   auto& attempt = attempts_[id];
   attempt.engine = effect.engine;
   attempt.result.id = id;
-  attempt.pool_ticket = pool_.acquire(effect.engine, [this, id](Connection* connection) {
+  attempt.waiter_id = pool_.acquire(effect.engine, [this, id](Connection* connection) {
     const auto found = attempts_.find(id);
     if (connection == nullptr) return end_attempt(id, AttemptOutcome::connect_failed);
     found->second.connection = connection;
@@ -206,7 +206,7 @@
   headers.emplace_back("Query-Priority", std::to_string(effect.priority));
   if (!effect.parameters.empty()) {
     // These engines accept statements as text only, so bound values become literals.
-    const auto values = sql::unpack(effect.parameters);
+    const auto values = sql::decode_values(effect.parameters);
     auto text = values ? sql::with_literals(effect.body, *values) : std::nullopt;
     if (!text) return end_attempt(effect.id, AttemptOutcome::error);
     effect.body = std::move(*text);
@@ -225,8 +225,8 @@
   if (found == attempts_.end()) return;
   auto& attempt = found->second;
   switch (attempt.stage) {
-    case Stage::waiting:
-      pool_.cancel(attempt.engine, attempt.pool_ticket);
+    case Stage::connecting:
+      pool_.cancel(attempt.engine, attempt.waiter_id);
       return end_attempt(effect.id, AttemptOutcome::expired);
     case Stage::ready:
       if (attempt.connection != nullptr) pool_.release(*attempt.connection);
@@ -268,7 +268,7 @@
 
 void Engines::send_delete(AttemptId id) {
   auto& attempt = attempts_.at(id);
-  attempt.pool_ticket = out_of_band_call(
+  attempt.waiter_id = out_of_band_call(
       attempt.engine, http_request("DELETE", attempt.query_path, host(attempt.engine), {}, {}),
       kOutOfBandTimeout, [this, id](CallOutcome outcome, HttpResponse&) {
         const auto found = attempts_.find(id);
@@ -466,7 +466,7 @@
   auto attempt = std::move(found->second);
   attempts_.erase(found);
   // The query may be sent to the engine again under the same path, so a DELETE not sent yet must not follow.
-  if (attempt.stage == Stage::deleting) pool_.cancel(attempt.engine, attempt.pool_ticket);
+  if (attempt.stage == Stage::deleting) pool_.cancel(attempt.engine, attempt.waiter_id);
   if (auto* connection = attempt.connection; connection != nullptr && connection->stream.open()) {
     // A call still in flight on the connection releases it when it ends.
     const auto in_flight = calls_.find(attempt.call_id);
--- a/src/platform/engines.hpp
+++ b/src/platform/engines.hpp
@@ -38,11 +38,11 @@
 
  private:
   using Connection = net::ConnectionPool::Connection;
-  // waiting: for a connection. ready: it has one. posted: the POST is unanswered. polling: the query runs.
-  // paging: it has ended, and its pages are fetched. cancelling: cancelled before the engine's first
+  // connecting: waits for a connection. ready: it has one. posted: the POST is unanswered. polling: the query
+  // runs. paging: it has ended, and its pages are fetched. cancelling: cancelled before the engine's first
   // response. deleting: DELETEs are sent until the engine answers one.
-  enum class Stage { waiting, ready, posted, polling, paging, cancelling, deleting };
-  // How a call, that is one HTTP request, has ended. unsent: it failed before any byte was sent. broken: it
+  enum class Stage { connecting, ready, posted, polling, paging, cancelling, deleting };
+  // How a call (one HTTP request) has ended. unsent: it failed before any byte was sent. broken: it
   // failed after that, or the response was invalid.
   enum class CallOutcome { responded, not_connected, unsent, broken, timed_out };
   // The response is empty unless the outcome is `responded`.
@@ -50,8 +50,8 @@
 
   struct Attempt {
     core::EngineId engine = 0;
-    Stage stage = Stage::waiting;
-    std::uint64_t pool_ticket = 0;     // while it waits for a connection
+    Stage stage = Stage::connecting;
+    std::uint64_t waiter_id = 0;       // while it waits for a connection
     Connection* connection = nullptr;  // its own, from the POST to the last page
     std::uint64_t call_id = 0;         // of its last call
     std::string query_path;            // of its query at the engine
@@ -62,7 +62,7 @@
     // To report once the query has ended.
     core::AttemptOutcome final_outcome = core::AttemptOutcome::cancelled;
     bool unconfirmed = false;  // nothing proves yet that the engine has received the statement
-    // When the engine first denied knowing the query while it was unconfirmed; zero: never.
+    // When the engine first reported that it does not know the unconfirmed query; zero: never.
     core::Time reported_unknown_at{};
     std::optional<std::uint8_t> pending_priority;  // to be sent once the engine knows the query
     core::AttemptEnded result;
@@ -78,7 +78,7 @@
   std::uint64_t start_call(Connection& connection, const std::string& request, core::Time timeout,
                            CallCallback callback);
   void finish_call(std::uint64_t call_id, CallOutcome outcome);
-  // Makes a call on any connection to the engine; returns the pool's ticket for the connection.
+  // Makes a call on any connection to the engine; returns the pool's id for ConnectionPool::cancel().
   std::uint64_t out_of_band_call(core::EngineId engine, std::string request, core::Time timeout,
                                  CallCallback callback);
 
@@ -88,7 +88,7 @@
   void reconnect(core::AttemptId id);
   // Adds a page to the result. Returns false if the page is damaged.
   bool append_page(Attempt& attempt, HttpResponse& response);
-  // Reports the outcome and forgets the attempt.
+  // Reports the outcome and erases the attempt.
   void end_attempt(core::AttemptId id, core::AttemptOutcome outcome);
   // Ends the attempt with the outcome once the engine has answered a DELETE or has ended the query by itself.
   void cancel_query(core::AttemptId id, core::AttemptOutcome outcome);
--- a/src/platform/front.cpp
+++ b/src/platform/front.cpp
@@ -13,12 +13,12 @@
 }  // namespace
 
 Front::Front(ev::loop_ref loop, net::Fd listening, const config::NameIndex& names,
-             std::size_t max_connections, std::uint64_t& last_handle, std::function<bool()> ready,
+             std::size_t max_connections, std::uint64_t& last_client_handle, std::function<bool()> ready,
              EventSink emit)
     : loop_(loop),
       names_(names),
       max_connections_(max_connections),
-      last_handle_(last_handle),
+      last_client_handle_(last_client_handle),
       ready_(std::move(ready)),
       emit_(std::move(emit)),
       address_(net::local_address(listening.get())),
@@ -199,7 +199,7 @@
     }
     connection.request_received = true;
     connection.max_request_id = std::max(connection.max_request_id, request.id);
-    const auto client = ++last_handle_;
+    const auto client = ++last_client_handle_;
     connection.open_requests[request.id] = client;
     open_requests_[client] = {connection.id, request.id, request.request.ticket};
     request.request.client = client;
--- a/src/platform/front.hpp
+++ b/src/platform/front.hpp
@@ -26,10 +26,10 @@
 class Front {
  public:
   using EventSink = std::function<void(core::Event)>;
-  // `names` must outlive this object. `last_handle` is the last client handle given out; all fronts share it.
-  // `ready`: what a health call is answered with.
+  // `names` must outlive this object. `last_client_handle` is the last client handle assigned; all fronts
+  // share it. `ready`: what a health call is answered with.
   Front(ev::loop_ref loop, net::Fd listening, const config::NameIndex& names, std::size_t max_connections,
-        std::uint64_t& last_handle, std::function<bool()> ready, EventSink emit);
+        std::uint64_t& last_client_handle, std::function<bool()> ready, EventSink emit);
 
   // The address that it listens on.
   [[nodiscard]] const std::string& address() const { return address_; }
@@ -100,7 +100,7 @@
   ev::loop_ref loop_;
   const config::NameIndex& names_;
   std::size_t max_connections_;
-  std::uint64_t& last_handle_;
+  std::uint64_t& last_client_handle_;
   std::function<bool()> ready_;
   EventSink emit_;
   std::string address_;
--- a/src/platform/http.hpp
+++ b/src/platform/http.hpp
@@ -25,7 +25,7 @@
 
 using HttpHeaders = std::vector<std::pair<std::string_view, std::string>>;
 
-// Formats a request. Header values must not contain line breaks; this is up to the callers.
+// Formats a request. Header values must not contain line breaks; the caller ensures this.
 [[nodiscard]] std::string http_request(std::string_view method, std::string_view path, std::string_view host,
                                        const HttpHeaders& headers, std::string_view body);
 
--- a/src/plugin/admission.cpp
+++ b/src/plugin/admission.cpp
@@ -44,8 +44,8 @@
   std::chrono::steady_clock::time_point deadline;  // of the running call
 
   State(const config::Plugin& config, const config::NameIndex& name_index, core::Time longest_retry_after)
-      : names(name_index), time_limit(config.time), max_retry_after(longest_retry_after) {
-    memory.limit = config.memory;
+      : names(name_index), time_limit(config.time_limit), max_retry_after(longest_retry_after) {
+    memory.limit = config.memory_limit_bytes;
     lua = lua_newstate(allocate, &memory);
     if (lua == nullptr) throw ScriptError("plugin.memory_kb: is too small to run a script");
     *static_cast<State**>(lua_getextraspace(lua)) = this;
--- a/src/sql/value.cpp
+++ b/src/sql/value.cpp
@@ -17,7 +17,7 @@
   out.append(raw.data(), raw.size());
 }
 
-// Reads what pack() has written; each function returns none if the input is too short.
+// Reads what encode_values() has written; each function returns none if the input is too short.
 class Decoder {
  public:
   explicit Decoder(std::string_view in) : in_(in) {}
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-std::string pack(const std::vector<Value>& values) {
+std::string encode_values(const std::vector<Value>& values) {
   std::string out;
   append_raw(out, static_cast<std::uint32_t>(values.size()));
   for (const auto& value : values) {
@@ -98,8 +98,8 @@
   return out;
 }
 
-std::optional<std::vector<Value>> unpack(std::string_view packed) {
-  Decoder in(packed);
+std::optional<std::vector<Value>> decode_values(std::string_view encoded) {
+  Decoder in(encoded);
   const auto count = in.read<std::uint32_t>();
   if (!count) return std::nullopt;
   std::vector<Value> out;
--- a/src/sql/value.hpp
+++ b/src/sql/value.hpp
@@ -24,9 +24,9 @@
 
 // Encodes values for transport inside the broker, in its native byte order. The result is never empty, so
 // that an empty string can stand for a statement without parameters.
-[[nodiscard]] std::string pack(const std::vector<Value>& values);
-// Decodes the output of pack(); none if it is malformed.
-[[nodiscard]] std::optional<std::vector<Value>> unpack(std::string_view packed);
+[[nodiscard]] std::string encode_values(const std::vector<Value>& values);
+// Decodes the output of encode_values(); none if it is malformed.
+[[nodiscard]] std::optional<std::vector<Value>> decode_values(std::string_view encoded);
 
 // Replaces the placeholders of the statement by the values as literals; none if their numbers differ.
 [[nodiscard]] std::optional<std::string> with_literals(std::string_view statement,
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -30,9 +30,9 @@
   EXPECT_EQ(sql::with_literals("SELECT '?', ? /* ? */, ?, ?, ?", values),
             "SELECT '?', 'it''s\\\\' /* ? */, -5, NULL, x'01ff'");
   EXPECT_FALSE(sql::with_literals("SELECT ?", values));
-  EXPECT_EQ(sql::unpack(sql::pack(values)), values);
-  EXPECT_FALSE(sql::unpack(sql::pack(values) + "x"));
-  EXPECT_FALSE(sql::unpack(sql::pack(values).substr(0, 9)));
+  EXPECT_EQ(sql::decode_values(sql::encode_values(values)), values);
+  EXPECT_FALSE(sql::decode_values(sql::encode_values(values) + "x"));
+  EXPECT_FALSE(sql::decode_values(sql::encode_values(values).substr(0, 9)));
 }
 
 TEST(Base64, RoundTripsAndRejectsInvalidInput) {
