--- a/include/heronwell/gateway.hpp
+++ b/include/heronwell/gateway.hpp
@@ -165,7 +165,7 @@
   connect_failed,    // no connection to the engine: it has not run
   connection_reset,  // the connection broke, perhaps with the engine: it may have run
   cancelled,         // by CancelAttempt: it may have run
-  expired,           // not executed, as its deadline or Send::send_by had passed
+  expired,           // not executed: cancelled before it was sent, or its deadline or Send::send_by passed
   query_dropped      // the connection broke and the query may have run; the engine is alive but no longer
                      // knows the query
 };
@@ -303,7 +303,7 @@
 // Send a message to one gateway or to all others.
 struct SendPeerMessage {
   std::optional<std::uint32_t> to;  // index of the receiver; none: all other gateways
-  std::string bytes;                // at most 256
+  std::string bytes;                // at most 256 bytes
 };
 
 // Read the membership and subscribe to its changes, or end the subscription.
@@ -343,7 +343,7 @@
   void handle(Time now, const std::vector<Event>& events, std::vector<Action>& out);
 
   // Throws std::out_of_range if there is no such class.
-  [[nodiscard]] ClassStats class_stats(ClassIndex cls) const;
+  [[nodiscard]] ClassStats class_stats(ClassIndex class_index) const;
   // This gateway's share of the fleet, threads.
   [[nodiscard]] double total_thread_budget() const;
 
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -59,7 +59,7 @@
   served,            // the engine returned the complete result
   error,             // the engine reported an error; the query may have run
   rejected,          // the engine did not accept the query; it did not run
-  expired,           // cancelled or timed out before it was sent; it did not run
+  expired,           // cancelled or timed out before it was sent or executed; it did not run
   connect_failed,    // no connection was made; the query did not run
   connection_reset,  // the connection broke; the query may have run
   query_dropped,  // the connection broke, and the engine has since reported that it no longer has the query
@@ -159,7 +159,7 @@
 
 enum class AnswerKind {
   served,
-  rejected,  // a retry by the client does no harm
+  rejected,  // a resend by the client does no harm
   failed,    // the query may have run
   timed_out  // the deadline has passed or is about to pass; the query may have run
 };
@@ -168,7 +168,7 @@
 struct Answer {
   ClientHandle client = 0;
   AnswerKind kind = AnswerKind::failed;
-  Time retry_after{};         // rejected: how long the client should wait before it retries
+  Time retry_after{};         // rejected: how long the client should wait before it resends
   std::string body;           // served: the result; otherwise the last error text from an engine, if any
   std::string result_schema;  // served: as in AttemptEnded
 };
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -240,7 +240,7 @@
   }
   // Engines identify a query by its ticket, so a second request with the same ticket would get the first
   // one's result. The ticket of an answered request isn't accepted either, since clients use a new one for
-  // every retry.
+  // every resend.
   if (!client_request.ticket.empty() && !tickets_.insert(client_request.ticket).second)
     return emit(Answer{client_request.client, AnswerKind::failed, {}, {}, {}});
   const auto id = ++last_request_;
@@ -545,7 +545,7 @@
   for (const auto& attempt : request.attempts) {
     text += "; engine " + std::to_string(attempt.engine) + " " + stage_name(attempt.stage);
     if (attempt.outcome) text += std::string(" ") + name(*attempt.outcome);
-    text += " since " + milliseconds(now_ - attempt.started_at);
+    text += ", age " + milliseconds(now_ - attempt.started_at);
   }
   emit(Log{std::move(text)});
 }
--- a/src/policy/arrivals.cpp
+++ b/src/policy/arrivals.cpp
@@ -9,7 +9,7 @@
 
 namespace heronwell {
 namespace {
-// Of the latency target: after a longer time in the queue the response would be late.
+// Longest time in the queue, as a share of the latency target: after a longer one the response would be late.
 constexpr double kMaxQueueShare = 0.4;
 // Predicted latencies that must be left for execution when the time in the queue ends.
 constexpr double kReservedRunTimes = 2.0;
@@ -118,7 +118,7 @@
 }
 
 // After a longer time in the queue the response would come after the latency target: such a request is
-// rejected, so that fresher ones are answered in time. With an estimate, the predicted latency and the target
+// rejected, so that later ones are answered in time. With an estimate, the predicted latency and the target
 // follow from it; otherwise the usual latency and target of the class are used.
 Time Gateway::Impl::max_queue_time(const Request& request) const {
   const auto class_index = request.arrival.class_index;
--- a/src/policy/attempts.cpp
+++ b/src/policy/attempts.cpp
@@ -125,9 +125,10 @@
 }
 
 // An attempt takes much longer than predicted if its response is lost, its query plan is bad, or its engine
-// is slow or has stopped. A hedged attempt then goes to another engine. Its work is rationed, and there is
-// none while the fleet is overloaded and most attempts are slow. In the end the slow attempt is cancelled: a
-// lost one would count as running until its deadline and raise the fleet load that all gateways go by.
+// is slow or has stopped. A hedged attempt then goes to another engine. The work of hedged attempts is
+// limited, and none is sent while the fleet is overloaded, since most attempts are slow then. In the end the
+// slow attempt is cancelled: a lost one would count as running until its deadline and raise the fleet load
+// that all gateways use.
 void Gateway::Impl::hedge_slow_attempt(RequestId id, std::size_t index) {
   auto& request = requests_.at(id);
   const auto& attempt = request.attempts[index];
--- a/src/policy/control_loop.cpp
+++ b/src/policy/control_loop.cpp
@@ -23,7 +23,7 @@
 constexpr double kMaxControllerError = 3.0;
 // A tenant may use this many times its share unless the fleet is overloaded.
 constexpr double kShareTolerance = 1.3;
-// Queries beyond its share that a tenant may save up: those of a quiet gateway come in bursts.
+// Queries beyond its share that a tenant may save up: at a gateway with few queries they come in bursts.
 constexpr double kExtraShareTokens = 3;
 // Time constant of the arrival rate that shares are measured against.
 constexpr double kArrivalRateSeconds = 20.0;
@@ -33,7 +33,7 @@
 constexpr double kMinBackOffFactor = 0.5;
 constexpr double kBackOffDecrease = 0.85,  // factor for each period of congestion
     kBackOffIncrease = 0.05;               // added in each other period
-// A slow engine that has not responded for this long gets another chance.
+// After this long without a response a slow engine counts as no longer slow, so that it gets queries again.
 constexpr Time kSlowEngineRetryInterval = 4s;
 // Time constant of the usual number of running threads.
 constexpr double kRunningThreadsSeconds = 5.0;
@@ -154,9 +154,9 @@
   for (auto* engine : small_budget_ ? std::vector<Engine*>() : ready_engines_) probe_if_outdated(*engine, 0);
   draw_admission_slots(passed_seconds);
   report_to_peers();
-  if (now_ >= last_sample_ + kControlPeriod) {
-    update_arrival_rate(to_seconds(now_ - last_sample_));
-    last_sample_ = now_;
+  if (now_ >= last_control_step_ + kControlPeriod) {
+    update_arrival_rate(to_seconds(now_ - last_control_step_));
+    last_control_step_ = now_;
     run_controller();
   }
   remove_expired();
--- a/src/policy/engine_choice.cpp
+++ b/src/policy/engine_choice.cpp
@@ -54,8 +54,8 @@
   const double usable_cores = engine_cores(engine) * capacity_share(engine, 0s);
   const auto total_threads = all_gateways_threads(engine);
   const double own_threads = engine.threads + 0.5 * threads;
-  // Where only responses contain load reports, a gateway that holds back goes on sending to engines without a
-  // recent report, to hear from them: one query each, and only while it uses a part of its budget, as all
+  // Where only responses contain load reports, a gateway that has backed off still sends queries to engines
+  // without a recent report, to get one: one query each, and only while it uses a part of its budget, as all
   // gateways do so.
   if (total_threads && *total_threads + 0.5 * threads > kMaxThreadsPerCore * back_off * usable_cores)
     return peer_fleet_load_ < 0 && engine.threads == 0 &&
@@ -81,8 +81,8 @@
 
 double Gateway::Impl::load_score(const Request& request, Engine& engine) {
   const auto& class_settings = this->settings_of(request);
-  // Reports are late and all gateways read the same ones: by reports alone, all would choose the same engine
-  // at once. So this gateway's own threads count too.
+  // Reports arrive late and all gateways read the same ones: by reports alone, all would choose the same
+  // engine at once. So this gateway's own threads count too.
   const double own_estimate = engine.threads * std::min<double>(settings_.gateways, kMaxOwnLoadFactor);
   const double total_threads = kOwnLoadWeight * own_estimate +
                                (1 - kOwnLoadWeight) * all_gateways_threads(engine).value_or(own_estimate);
--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -10,8 +10,8 @@
 namespace {
 // After this long without a call, this process itself was paused.
 constexpr Time kMinProcessPause = 200ms;
-// Of the latency target: the latency assumed for a class before its first response; multiplied by its
-// threads, its work.
+// The latency assumed for a class before its first response, as a share of its latency target. The work
+// assumed for its queries is this latency times their threads.
 constexpr double kInitialLatencyShare = 0.5;
 }  // namespace
 
@@ -72,7 +72,7 @@
 
 void Gateway::Impl::start() {
   started_ = true;
-  last_sample_ = last_tick_ = last_peer_message_ = now_;
+  last_control_step_ = last_tick_ = last_peer_message_ = now_;
   if (settings_.membership_on_request) emit(WatchMembership{true});
   emit(SetTimer{kTimerInterval});
 }
@@ -93,7 +93,7 @@
 void Gateway::handle(Time now, const std::vector<Event>& events, std::vector<Action>& out) {
   impl_->handle(now, events, out);
 }
-ClassStats Gateway::class_stats(ClassIndex cls) const { return impl_->class_stats(cls); }
+ClassStats Gateway::class_stats(ClassIndex class_index) const { return impl_->class_stats(class_index); }
 double Gateway::total_thread_budget() const { return impl_->total_thread_budget(); }
 
 }  // namespace heronwell
--- a/src/policy/gateway_impl.hpp
+++ b/src/policy/gateway_impl.hpp
@@ -44,7 +44,7 @@
 
   // fleet.cpp: membership, capacity and speed of engines
 
-  // Takes over a membership update; update_fleet() must follow.
+  // Takes over a membership update; update_fleet() must be called afterwards.
   void apply(const MembershipUpdate& update);
   // Recomputes what depends on the set of engines or on their health.
   void update_fleet();
@@ -96,7 +96,7 @@
 
   // requests.cpp: the life of a request up to its final response
 
-  // The client does not wait for the request any more.
+  // Closes the request, since its client does not wait for it any more.
   void apply(const RequestCancelled& cancelled);
   // Null if the request is unknown or has been erased.
   Request* find_request(RequestId id);
@@ -113,7 +113,7 @@
   // Per-key ordering applies to the request.
   bool is_ordered(const Request& request) const;
 
-  // rules.cpp: the rules of service, which no decision may break
+  // rules.cpp: the rules that every send and every rejection must follow
 
   // A resend by the client would do no harm.
   bool may_reject(const Request& request) const;
@@ -142,7 +142,7 @@
   std::uint8_t priority(const Request& request) const;
   // Sends the request if the rules allow it; false if they do not.
   bool send_attempt(Request& request, Engine& engine);
-  // Ends the attempt, learns from it, and retries or ends the request.
+  // Ends the attempt, updates averages and health from its result, and retries or ends the request.
   void apply(const AttemptResult& result);
   // Queues a request without attempts in flight for another attempt, or ends it.
   void retry_or_reject(Request& request);
@@ -153,11 +153,11 @@
   // Starts a hedged attempt if this one takes too long, and cancels it if it seems lost.
   void hedge_slow_attempt(RequestId id, std::size_t index);
 
-  // health.cpp: outlier detection, and what responses tell of latency and cost
+  // health.cpp: outlier detection, and averages of latency and cost from responses
 
   // Updates the engine's health and the class's averages.
   void evaluate_result(Engine& engine, const Request& request, const AttemptResult& result);
-  // The engine's process ran at `at`: it may not have restarted when its connection broke.
+  // The engine's process ran at `at`. Soon after its connection broke, this shows that it has not restarted.
   void record_sign_of_life(Engine& engine, Time at);
   void record_success(Engine& engine, const Request& request, const AttemptResult& result);
   static void update_baseline_latency(ClassState& cls, double latency_seconds);
@@ -166,7 +166,7 @@
   // Sends the engine nothing for a while and cancels its attempts. `reason` is logged.
   void eject(Engine& engine, const char* reason);
   bool is_ejected(const Engine& engine) const;
-  // Looks for attempts that stall, and ejects the engine if it is silent.
+  // Hedges or cancels attempts that stall, and ejects the engine if it is silent.
   void check_stalled_attempts(Engine& engine);
   // Cancels the attempt if it is blocked or its query plan is bad.
   void apply(const ProgressReport& report);
@@ -175,15 +175,15 @@
 
   // load_reports.cpp: load reports, probes and messages between gateways
 
-  // Reads a response's load figures, which are in the order of Settings::load_fields.
+  // Records the load figures of a response or probe, which are in the order of Settings::load_fields.
   void record_load(Engine& engine, const std::vector<double>& load);
-  // Takes a report of `threads` of all gateways on the engine, also into the fleet's averages.
+  // Records a load report, `threads` of all gateways on the engine, and updates the fleet's averages with it.
   void record_report(Engine& engine, double threads, Time at);
-  // Takes a report for this engine alone.
+  // Records a load report, but leaves the fleet's averages as they are.
   void store_report(Engine& engine, double threads, Time at);
-  // Takes the load that a probe returned.
+  // Records the load that a probe returned.
   void apply(const ProbeResult& result);
-  // Takes the load that another gateway reports.
+  // Records the load that another gateway reports.
   void apply(const PeerMessage& message);
   // Sends this gateway's load to others, if it is time.
   void report_to_peers();
@@ -193,15 +193,15 @@
   bool send_probe(Engine& engine);
   // Sends probes for the request. True: it should wait for them.
   bool await_probes(Request& request, const std::vector<Engine*>& engines);
-  // The fleet is busier than it should be, or answers slowly.
+  // The fleet load is above its limit or, if that load is unknown, the latency ratio is.
   bool fleet_overloaded() const;
   // Threads per core; below 0: unknown.
   double fleet_load() const;
   // Threads of all gateways on the engine; none: unknown.
   std::optional<double> all_gateways_threads(const Engine& engine) const;
-  // Share of a report's difference from the fleet load to believe, 0 to 1.
+  // Weight of a load report's difference from the fleet load, 0 to 1.
   double report_confidence() const;
-  // Factor on the fleet load that corrects for swings not yet in the reports.
+  // Factor on the fleet load that corrects for oscillations that the reports do not show yet.
   double oscillation_correction() const;
   // Threads of this gateway's attempts in flight.
   double total_running_threads() const;
@@ -302,7 +302,7 @@
   Time now_{},                                            // of the current call
       last_call_{},                                       // of handle()
       process_pause_{},                                   // length of the pause before this call; 0: none
-      last_sample_{},                                     // last step of the controller
+      last_control_step_{},                               // last step of the controller
       last_tick_{},                                       // last timer event that was processed
       last_peer_message_{},                               // that was sent
       membership_retry_at_{},               // when to subscribe again after a failure; 0: not needed
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -16,12 +16,12 @@
 constexpr double kRejectingThreadsPerCore = 4;
 // Error rate at which an engine is ejected if the fleet has no errors: two in a row.
 constexpr double kEjectionErrorRate = 0.4;
-// The fleet's error rate times this is added to that limit: an engine is not at fault for what all of them
-// do.
+// The fleet's error rate times this is added to that limit: an engine is not at fault for errors
+// that occur on all engines.
 constexpr double kFleetErrorFactor = 4;
 // Weight of one outcome in the fleet's error rate.
 constexpr double kFleetErrorRateWeight = 0.01;
-// No process ends and starts again in less time.
+// No engine process ends and starts again in less time.
 constexpr Time kMinRestartTime = 500ms;
 // Length of the first ejection; doubled after each failed half-open attempt, up to the limit.
 constexpr Time kFirstEjection = 1s, kMaxEjection = 4s;
@@ -29,7 +29,7 @@
 constexpr double kSilentOverdueResponses = 6;
 // One attempt counts for at most this many of them: a single long query does not make an engine silent.
 constexpr double kMaxOverduePerAttempt = 3;
-// An engine is not taken for silent before this time without a response.
+// An engine counts as silent only after at least this time without a response.
 constexpr Time kMinSilence = 800ms;
 // The progress of an attempt is not judged before this age.
 constexpr Time kMinProgressAge = 900ms;
--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -28,7 +28,7 @@
 constexpr unsigned kMinPeerMessages = 10;
 // Smallest weight of one message: the fleet load must follow a restart within seconds.
 constexpr double kMinPeerMessageWeight = 0.1;
-// Share of a report's difference from the others that is believed at least.
+// Lower limit of report_confidence().
 constexpr double kMinReportConfidence = 0.25;
 // Variance / mean of the queries reported of an engine, if nothing is wrong.
 constexpr double kUsualReportVariance = 1.5;
--- a/src/policy/rules.cpp
+++ b/src/policy/rules.cpp
@@ -1,4 +1,4 @@
-// The rules of service: each send passes may_send(), each rejection may_reject().
+// The rules that protect clients and engines: each send must pass may_send(), each rejection may_reject().
 #include <algorithm>
 #include <cmath>
 #include <ranges>
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,7 +8,8 @@
 
 namespace heronwell {
 namespace {
-// Of the load that overloads an engine in slow start: what the admission slots of all gateways may add up to.
+// The admission slots of all gateways add up to at most this share of the load that overloads an engine in
+// slow start.
 constexpr double kAdmittedOverloadShare = 0.8;
 // How long an admission slot is valid.
 constexpr Time kAdmissionSlot = 1s;
--- a/src/state.cpp
+++ b/src/state.cpp
@@ -28,9 +28,9 @@
   if (settings.max_attempts == 0) throw_invalid("max_attempts must be 1 or more");
   if (settings.slow_start_initial_share <= 0 || settings.slow_start_initial_share > 1)
     throw_invalid("slow_start_initial_share must be above 0 and at most 1");
-  for (const auto& cls : settings.classes) {
-    if (cls.latency_target <= Time::zero()) throw_invalid("classes[].aim must be above 0");
-    if (cls.threads == 0) throw_invalid("classes[].threads must be 1 or more");
+  for (const auto& class_settings : settings.classes) {
+    if (class_settings.latency_target <= Time::zero()) throw_invalid("classes[].aim must be above 0");
+    if (class_settings.threads == 0) throw_invalid("classes[].threads must be 1 or more");
   }
   for (const auto& kind : settings.kinds) {
     if (!(kind.cores > 0)) throw_invalid("kinds[].cores must be above 0");
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -63,7 +63,7 @@
 struct Engine {
   EngineEntry entry;                                       // from the last membership update
   bool ready = false;                                      // takes queries, and its kind is known
-  unsigned threads = 0, queries = 0;                       // in use by this gateway's attempts in flight
+  unsigned threads = 0, queries = 0;                       // of this gateway's attempts in flight
   std::set<std::pair<RequestId, AttemptIndex>> in_flight;  // this gateway's attempts
   Health health = Health::healthy;
   Time ejected_until{},                    // end of the last ejection
@@ -80,12 +80,12 @@
   double other_gateways_threads = 0;       // threads that other gateways use, by the last load report
   Time last_load_report{},                 // when that report was made; 0: never
       last_probe{};                        // when the last probe was sent
-  std::uint64_t last_selection_round = 0;  // last selection in which it was a candidate
+  std::uint64_t last_selection_round = 0;  // last choice of an engine in which it was a candidate
 };
 
 // State of one class. Averages are exponential moving averages.
 struct ClassState {
-  std::deque<RequestId> queue;       // in the order of arrival; retries are put at its front
+  std::deque<RequestId> queue;       // in the order of arrival; retries are put at the front
   Time max_time_left{};              // longest time to the deadline that a request has arrived with
   unsigned running_threads = 0;      // threads of this gateway's attempts in flight
   double controller_output = 0;      // output U(m) of the PI controller, threads
@@ -96,7 +96,7 @@
   double recent_latency = 0,         // s, average
       baseline_latency = 0;          // s, latency of an uncongested fleet
   double median_latency = 0;         // s, median of a query of relative size 1
-  double mean_estimate = 0;          // s, average estimate of the work
+  double mean_estimate = 0;          // core-seconds, average estimate of the work
   double baseline_batch_sum = 0,     // s, latencies not yet included in baseline_latency
       baseline_batch_count = 0;      // their number
   double mean_work = 0,              // core-seconds of a query of relative size 1, average
