--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# build, test, lint and run; CMake does the work.
+# Shortcuts for building, testing, linting and running; CMake does the work.
 CONFIG ?= $(BALANCER_CONFIG)
 JOBS ?= 4
 
@@ -16,7 +16,7 @@
 lint:
 	find src include tests -name '*.[ch]pp' | xargs clang-format --dry-run --Werror
 
-# Wants the compile commands that `make test` leaves in build-test.
+# Needs the compile commands that `make test` writes to build-test.
 tidy:
 	find src -name '*.cpp' | xargs -P $(JOBS) -n 1 clang-tidy -p build-test --quiet --extra-arg=-Wno-unknown-warning-option
 
--- a/include/heronwell/gateway.hpp
+++ b/include/heronwell/gateway.hpp
@@ -54,7 +54,7 @@
   latency_ms,    // response time, milliseconds
   served,        // successful queries a second
   failed,        // failed queries a second
-  memory_share,  // share of the memory in use, 0 to 1
+  memory_share,  // share of the memory that is reserved, 0 to 1
   disk_share,    // share of the disk capacity in use, 0 to 1
   unknown        // a field that the library has no use for
 };
@@ -129,7 +129,8 @@
   Time progress_interval{};             // between progress reports of an attempt; 0: none are sent
   bool load_in_responses = false;       // AttemptResult::load is filled
   std::vector<LoadField> load_fields;   // meaning of the values in AttemptResult::load and ProbeResult::load
-  Time drain_grace{};                   // how long a draining engine still executes its queries
+  Time drain_grace{};                   // after an engine was reported draining or gone, attempts may still
+                                        // start there for this long
   Time response_grace{};                // how long after its deadline a request may still be answered
   double slow_start_initial_share = 1;  // share of its capacity that an engine has just after its start
   Time slow_start_duration{};           // after its start, until an engine has its full capacity
@@ -137,7 +138,8 @@
                                         // their capacity over overload_window; 0: by no load
   Time overload_window{};               // see overload_multiple
   Time order_quiet_period{};            // pause of an order key after an attempt with an ambiguous outcome
-  Time poll_interval_limit{};           // an engine drops a query that is not polled for this long
+  Time max_membership_age{};            // with membership_on_request: a gateway that neither watches nor asks
+                                        // for this long counts as notified of the membership at that time
   std::optional<RetryBudget> retry_budget;  // none: attempts are limited by max_attempts alone
 };
 
@@ -183,7 +185,7 @@
   std::uint16_t kind = 0;  // index into Settings::kinds
   std::uint16_t cell = 0;
   EngineState state = EngineState::ready;
-  double weight = 1;  // relative share of the load
+  double weight = 1;  // nominal size against other engines; not used by the policy
   Time last_start{};  // when its process started; 0: long ago
 };
 
--- a/src/platform/changelog.hpp
+++ b/src/platform/changelog.hpp
@@ -21,8 +21,9 @@
 // DiscoveryIdle when there are no more events, or when a request fails; it reconnects after failures.
 class ChangeLog {
  public:
-  // Wait for new events that a long poll requests. What a change log that has stopped would have reported
-  // counts as reported 2 s after that wait, so a shorter wait shows sooner that it does not respond.
+  // How long a long poll asks the change log to wait for new events. If the change log stops, the broker is
+  // held to what it would have reported from 2 s after the end of that wait on, and the shorter the wait, the
+  // sooner the broker notices the silence and asks again.
   static constexpr core::Time kLongPollTimeout = std::chrono::milliseconds(1000);
   // For a complete response.
   static constexpr core::Time kResponseTimeout = kLongPollTimeout + std::chrono::milliseconds(500);
--- a/src/policy/control_loop.cpp
+++ b/src/policy/control_loop.cpp
@@ -9,7 +9,9 @@
 
 namespace heronwell {
 namespace {
-// Between two steps of the controller. 30 s, as in the paper, is too slow for waits of one second.
+// Between two steps of the controller. The 30 s of the paper that the controller follows ("Feedback Control
+// Architecture and Design Methodology for Service Delay Guarantees in Web Servers") are too slow for waits of
+// one second.
 constexpr Time kControlPeriod = 2s;
 // Of the controller, in units of kGainBudgetShare, for an error of one wait target.
 constexpr double kControllerGain = -0.80;
--- a/src/simulator/protocol.cpp
+++ b/src/simulator/protocol.cpp
@@ -206,7 +206,7 @@
   out.overload_multiple = number_or(in, "tip-multiple", 0);
   out.overload_window = time_or(in, "fall", Time::zero());
   out.order_quiet_period = time_or(in, "turn-gap", Time::zero());
-  out.poll_interval_limit = time_or(in, "ask-within", Time::zero());
+  out.max_membership_age = time_or(in, "ask-within", Time::zero());
   if (optional_field(in, "resend-span") != nullptr) {
     out.retry_budget = RetryBudget{time_or(in, "resend-span", Time::zero()), number_or(in, "free-resends", 0),
                                    number_or(in, "further-ratio", 0)};
